--- a/decide/admission.cpp
+++ b/decide/admission.cpp
@@ -1,12 +1,13 @@
 // Cost is the share of the cell's time that a request takes, so a cell that works at its nominal speed places one
-// second of cost each second. The measured rate corrects this for engines that are slower, caches that help, places
-// that stand empty. Each rank has an Admission of its own, so the rate of a less urgent rank is what the more urgent
-// ones leave to it. It is measured only between two placings with work left waiting: an idle cell's rate says nothing.
+// second of cost per second. The measured rate corrects this for slower engines, cache hits and idle slots. Each rank
+// has its own Admission, so the rate of a less urgent rank is what the more urgent ranks leave to it. The rate is
+// measured only between two placements with work left waiting, because the rate of an idle cell reflects demand and not
+// capacity.
 //
-// Retry-After. Load: far more callers than capacity, all refused, all coming back. Harm prevented: told the same time
-// they come back together and are refused together. Refused callers are given consecutive places in a virtual queue
-// that empties at the measured rate: the time told is when the work now waiting and that of those told earlier would be
-// done. It is an estimate, not a reservation.
+// Retry-After: when callers far beyond the capacity are refused and all are given the same time, they retry together
+// and are refused together. Refused callers are therefore given consecutive positions in a virtual queue that drains at
+// the measured rate: each gets the time at which the work waiting now and that of the callers refused before it would
+// be done. The time is an estimate, not a reservation.
 
 #include "decide/admission.h"
 
@@ -15,8 +16,8 @@
 namespace fescuesill
 {
 
-constexpr double slowestRate = 0.01; // a cell that places nothing at all would promise times without end
-constexpr double fastestRate = 20;
+constexpr double minRate = 0.01; // bounds the estimates of a cell that places nothing
+constexpr double maxRate = 20;
 
 void Admission::onPlaced(Duration cost, bool waiting, Instant now)
 {
@@ -27,7 +28,7 @@
     if (this->saturatedTime >= this->options.window) {
         const double rate =
             static_cast<double>(this->placedInWindow.count()) / static_cast<double>(this->saturatedTime.count());
-        this->measuredRate = std::clamp((this->measuredRate + rate) / 2, slowestRate, fastestRate);
+        this->measuredRate = std::clamp((this->measuredRate + rate) / 2, minRate, maxRate);
         this->saturatedTime = Duration(0);
         this->placedInWindow = Duration(0);
     }
@@ -45,11 +46,11 @@
 Duration Admission::retryAfter(Duration backlog, Duration cost, Instant now)
 {
     const Instant queueEnd = now + this->expectedWait(backlog);
-    this->promisedUntil = std::max(this->promisedUntil, queueEnd);
-    this->promisedUntil = std::min(this->promisedUntil, now + this->options.latest);
-    const Duration wait = this->promisedUntil - now;
-    this->promisedUntil += this->expectedWait(cost);
-    return std::clamp(wait, this->options.soonest, this->options.latest);
+    this->retryQueueEnd = std::max(this->retryQueueEnd, queueEnd);
+    this->retryQueueEnd = std::min(this->retryQueueEnd, now + this->options.maxRetryAfter);
+    const Duration wait = this->retryQueueEnd - now;
+    this->retryQueueEnd += this->expectedWait(cost);
+    return std::clamp(wait, this->options.minRetryAfter, this->options.maxRetryAfter);
 }
 
 } // namespace fescuesill
--- a/decide/admission.h
+++ b/decide/admission.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Whether a waiting request can still meet its target, and when a refused caller should come back.
+// Estimates whether a waiting request can still meet its target, and computes Retry-After for refused callers.
 //
 //     Admission admission(Admission::Options{});
 //     admission.onPlaced(cost, now);
@@ -18,11 +18,12 @@
 {
 public:
     struct Options {
-        // Weight of time in the measured rate of placing.
+        // Time constant of the measured placement rate.
         Duration window{1s};
-        // Retry-After: no sooner than a caller's round trip is worth, no later than a person waits before asking anew.
-        Duration soonest{500ms};
-        Duration latest{30s};
+        // Bounds of Retry-After: at least about one round trip of a caller, at most the time that a person waits before
+        // trying again.
+        Duration minRetryAfter{500ms};
+        Duration maxRetryAfter{30s};
     };
 
     explicit Admission(const Options &options)
@@ -30,16 +31,17 @@
     {
     }
 
-    // Work placed. `waiting`: more was left in the queue, so the rate shows what the cell can do, not what was asked of
-    // it.
+    // Records placed work. `waiting`: more work was left in the queue, so the rate reflects the capacity of the cell
+    // and not the demand.
     void onPlaced(Duration cost, bool waiting, Instant now);
-    // Cost placed for each second of time, as measured while work waited; 1 until then.
+    // Cost placed per second, measured while work waited; 1 until the first measurement.
     double rate() const
     {
         return this->measuredRate;
     }
     Duration expectedWait(Duration backlog) const;
-    // When a request of this cost, refused now behind this backlog, should come back. Later ones are told later times.
+    // Returns when the caller of a request of this cost, refused now behind this backlog, should retry. Successive
+    // calls return later times.
     Duration retryAfter(Duration backlog, Duration cost, Instant now);
 
 private:
@@ -48,7 +50,7 @@
     Duration placedInWindow{0};
     Duration saturatedTime{0};
     std::optional<Instant> lastPlaced;
-    Instant promisedUntil; // the virtual queue of those told to come back ends here
+    Instant retryQueueEnd; // end of the virtual queue of refused callers
 };
 
 } // namespace fescuesill
--- a/decide/cellstate.cpp
+++ b/decide/cellstate.cpp
@@ -329,7 +329,7 @@
         refusal.retryAfter = admission.retryAfter(this->queue.backlogAt(record->rank), record->cost, now);
         this->erase(*record);
     } else {
-        refusal.retryAfter = this->options.admission.soonest;
+        refusal.retryAfter = this->options.admission.minRetryAfter;
     }
     this->actions.emplace_back(Refuse{std::move(request), refusal});
 }
--- a/decide/endpointpicker.cpp
+++ b/decide/endpointpicker.cpp
@@ -1,7 +1,8 @@
-// The cost of an endpoint is the time that a call is expected to take there: the mean of its answers, which holds the
-// way to its data centre, times the calls of this host already there over its slots, plus what its failures cost. Least
-// cost wins. Nothing is switched off: an endpoint that fails nearly always is dear, and becomes cheap again as its
-// record fades, so a repaired one is found again without health checks, which may be wrong.
+// The cost of an endpoint is the time that a call is expected to take there: its mean response time, which includes the
+// network delay to its data centre, scaled by the calls in flight from this host over its slots, plus the cost of its
+// failures. The endpoint with the lowest cost is chosen. No endpoint is excluded: one that fails nearly always has a
+// high cost, which decays with its fault record, so a repaired endpoint is used again without relying on health checks,
+// which may be wrong.
 
 #include "decide/endpointpicker.h"
 
@@ -14,7 +15,7 @@
 EndpointPicker::EndpointPicker(const Options &given, std::uint64_t seed)
     : options(given)
     , random(seed)
-    , usualUs(static_cast<double>(given.unknownTime.count()))
+    , typicalUs(static_cast<double>(given.unknownTime.count()))
 {
 }
 
@@ -27,28 +28,29 @@
             best = std::min(best, *found->second.meanUs);
         }
     }
-    return std::min(best, this->usualUs);
+    return std::min(best, this->typicalUs);
 }
 
-// How much of an endpoint's own measurement still counts; the rest is what an unknown one is taken to need.
-double EndpointPicker::kept(const Load &load, Instant now) const
+// Weight of an endpoint's own measurement, from 1 down to 0 with age. The remaining weight is given to the estimate for
+// an unmeasured endpoint.
+double EndpointPicker::recency(const Load &load, Instant now) const
 {
     const double age = std::chrono::duration<double>(now - load.measured).count();
-    return load.meanUs ? std::exp2(-age / std::chrono::duration<double>(this->options.forget).count()) : 0.0;
+    return load.meanUs ? std::exp2(-age / std::chrono::duration<double>(this->options.halfLife).count()) : 0.0;
 }
 
 double EndpointPicker::costUs(const EndpointCandidate &candidate, double bestUs, Instant now) const
 {
-    const double unmeasured = bestUs * this->options.trialShare
+    const double unmeasured = bestUs * this->options.unmeasuredFactor
         + (candidate.isNear ? 0.0 : static_cast<double>(this->options.farExtra.count()));
     const auto found = this->loads.find(candidate.id);
     if (found == this->loads.end()) {
         return unmeasured;
     }
     const Load &load = found->second;
-    const double mean = unmeasured + this->kept(load, now) * (load.meanUs.value_or(unmeasured) - unmeasured);
-    const double crowd = 1.0 + static_cast<double>(load.inFlight) / candidate.slots;
-    return mean * crowd + load.faults.at(now) * static_cast<double>(this->options.faultCost.count());
+    const double mean = unmeasured + this->recency(load, now) * (load.meanUs.value_or(unmeasured) - unmeasured);
+    const double loadFactor = 1.0 + static_cast<double>(load.inFlight) / candidate.slots;
+    return mean * loadFactor + load.faults.at(now) * static_cast<double>(this->options.faultCost.count());
 }
 
 std::optional<EndpointId> EndpointPicker::pick(const std::vector<EndpointCandidate> &candidates, Instant now)
@@ -58,15 +60,15 @@
     }
     const double best = this->bestMeanUs(candidates);
     const EndpointCandidate *chosen = nullptr;
-    double least = std::numeric_limits<double>::max();
+    double lowest = std::numeric_limits<double>::max();
     int ties = 0;
     for (const EndpointCandidate &candidate : candidates) {
         const double cost = this->costUs(candidate, best, now);
-        ties = cost == least ? ties + 1 : 1;
-        // The n-th of equal ones replaces the choice with a chance of 1/n, so each is as likely.
-        const bool winsTie = cost == least && this->random() % static_cast<std::uint64_t>(ties) == 0;
-        if (cost < least || winsTie) {
-            least = cost;
+        ties = cost == lowest ? ties + 1 : 1;
+        // The n-th of equal candidates replaces the choice with probability 1/n, so all are equally likely.
+        const bool winsTie = cost == lowest && this->random() % static_cast<std::uint64_t>(ties) == 0;
+        if (cost < lowest || winsTie) {
+            lowest = cost;
             chosen = &candidate;
         }
     }
@@ -93,7 +95,7 @@
     case EndpointOutcome::Failed:
         load.faults.add(1, now);
         return;
-    case EndpointOutcome::ErrorAnswer:
+    case EndpointOutcome::ErrorResponse:
         load.faults.add(this->options.errorWeight, now);
         break;
     case EndpointOutcome::Answered:
@@ -101,11 +103,11 @@
         break;
     }
     const auto us = static_cast<double>(took.count());
-    // After a long rest the old mean says little, and one answer says how the endpoint is now.
-    const double weight = std::max(this->options.weight, 1.0 - this->kept(load, now));
+    // After a long idle time the old mean is outdated, so a single new response dominates it.
+    const double weight = std::max(this->options.weight, 1.0 - this->recency(load, now));
     load.meanUs = load.meanUs ? *load.meanUs + weight * (us - *load.meanUs) : us;
     load.measured = now;
-    this->usualUs += this->options.usualWeight * (us - this->usualUs);
+    this->typicalUs += this->options.typicalWeight * (us - this->typicalUs);
 }
 
 void EndpointPicker::forget(const EndpointId &endpoint)
--- a/decide/endpointpicker.h
+++ b/decide/endpointpicker.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// Which endpoint of a plain service takes a call.
+// Chooses the endpoint of a plain service for a call.
 //
 //     EndpointPicker picker(EndpointPicker::Options{}, seed);
 //     const auto endpoint = picker.pick({{EndpointId("b1"), 6, true}, {EndpointId("b2"), 6, false}}, now);
 //     picker.onSent(*endpoint);
-//     picker.onEnded(*endpoint, EndpointOutcome::Answered, 15ms, now);      // once for each onSent
+//     picker.onEnded(*endpoint, EndpointOutcome::Answered, 15ms, now);      // once per onSent
 //
-// Load: one endpoint of three that is slow, full or fails a share of its calls while its health check is good. Harm
-// prevented: a third of the callers miss their target until somebody notices.
+// Guards against one endpoint of three that is slow, full or fails a share of its calls while its health check passes:
+// a third of the callers would miss their target until an operator intervened.
 
 #include "decide/faultrate.h"
 #include "fescuesill/ids.h"
@@ -23,15 +23,15 @@
 
 enum class EndpointOutcome {
     Answered,
-    ErrorAnswer, // an error of its own: may be the call's fault as well
-    Full, // it said that it did not run the call
-    Failed, // no whole answer
-    Abandoned, // the caller went first; says nothing of the endpoint
+    ErrorResponse, // an error response, which the call itself may have caused
+    Full, // the endpoint stated that it did not run the call
+    Failed, // no complete response
+    Abandoned, // the caller disconnected first; no evidence about the endpoint
 };
 
 struct EndpointCandidate {
     EndpointId id;
-    int slots = 1; // calls at once
+    int slots = 1; // maximum concurrent calls
     bool isNear = false; // in the data centre of this host
 };
 
@@ -39,36 +39,39 @@
 {
 public:
     struct Options {
-        // What a failed call costs in time of answers: a lost call outweighs any wait that still meets a target of some
+        // Cost of a failed call, as response time: a lost call outweighs any wait that still meets a target of some
         // hundred milliseconds.
         Duration faultCost{400ms};
-        // How much an error answer counts beside a call that got none: some share of all calls is answered so by
-        // every endpoint, and such errors cancel out between peers only on average.
+        // Weight of an error response relative to a failed call. Every endpoint returns errors to some share of its
+        // calls, and these cancel out between peers only on average.
         double errorWeight = 0.15;
-        // Weight of one answer in the mean time. Work times vary by half their mean; a tenth brings that to a tenth.
+        // Weight of one response in the mean time. Response times vary by half their mean; a weight of a tenth reduces
+        // the variation of the estimate to a tenth.
         double weight = 0.1;
-        // Time after which an unused endpoint's mean has gone halfway back to what an unknown one is taken to need. One
-        // that was twenty times slower is tried again after some 17 s, and costs one call if it still is.
-        Duration forget{3s};
-        // An endpoint that was not measured lately is taken for a little faster than the best, or it would never be
-        // tried again beside one that is well.
-        double trialShare = 0.8;
-        // Until anything was measured.
+        // Half-life of the measurement of an unused endpoint, which decays towards the estimate for an unmeasured one.
+        // An endpoint that was twenty times slower is tried again after some 17 s, at the cost of one call if it is
+        // still slow.
+        Duration halfLife{3s};
+        // An endpoint without a recent measurement is assumed to take this share of the time of the best one. Otherwise
+        // it would never be tried again beside a healthy endpoint.
+        double unmeasuredFactor = 0.8;
+        // Assumed response time until the first measurement.
         Duration unknownTime{15ms};
-        // Weight of one answer in the usual time of all endpoints, which an endpoint that was not measured is taken to
-        // need: slow enough that one endpoint that turns slow does not make its unknown peers look slow as well.
-        double usualWeight = 0.01;
-        // A far endpoint is asked for what its own answers take; until then it is taken for this much slower.
+        // Weight of one response in the typical time of all endpoints, which is the estimate for an unmeasured
+        // endpoint. It is small, so that one endpoint that turns slow does not make its unmeasured peers look slow as
+        // well.
+        double typicalWeight = 0.01;
+        // Extra time assumed for an endpoint in another data centre until its own responses are measured.
         Duration farExtra{10ms};
     };
 
     EndpointPicker(const Options &options, std::uint64_t seed);
 
-    // None where there is no candidate.
+    // Empty if there is no candidate.
     std::optional<EndpointId> pick(const std::vector<EndpointCandidate> &candidates, Instant now);
     void onSent(const EndpointId &endpoint);
     void onEnded(const EndpointId &endpoint, EndpointOutcome outcome, Duration took, Instant now);
-    // Its state is dropped; it may come back as another start.
+    // Drops the state of an endpoint; it may return as a new instance.
     void forget(const EndpointId &endpoint);
 
 private:
@@ -79,14 +82,14 @@
         FaultRate faults;
     };
 
-    double kept(const Load &load, Instant now) const;
+    double recency(const Load &load, Instant now) const;
     double costUs(const EndpointCandidate &candidate, double bestUs, Instant now) const;
     double bestMeanUs(const std::vector<EndpointCandidate> &candidates) const;
 
     Options options;
     std::mt19937_64 random;
     std::unordered_map<EndpointId, Load> loads;
-    double usualUs; // of all endpoints
+    double typicalUs; // over all endpoints
 };
 
 } // namespace fescuesill
--- a/decide/faultrate.h
+++ b/decide/faultrate.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// The share of an endpoint's latest calls that failed, forgotten while it is not used.
+// Share of an endpoint's recent calls that failed, decaying while the endpoint is not used.
 //
 //     FaultRate rate;
-//     rate.add(1.0, now);            // a call failed; 0 for one that did not, between for one that may not be its
-//     fault rate.at(now);                  // 0 to 1
+//     rate.add(1.0, now);            // 1: the call failed; 0: it did not; between: it may not be the endpoint's fault
+//     rate.at(now);                  // 0 to 1
 
 #include "fescuesill/units.h"
 
@@ -16,9 +16,9 @@
 class FaultRate
 {
 public:
-    // Weight of one call: five failures in a row bring the share over a half, one alone to 0.15.
+    // Weight of one call: five failures in a row raise the share above one half, a single one to 0.15.
     static constexpr double weight = 0.15;
-    // An endpoint that is avoided is tried again as its record fades; a repaired one is back after some seconds.
+    // An avoided endpoint is tried again as its record decays; a repaired one is in use again after some seconds.
     static constexpr Duration halfLife{3s};
 
     void add(double failed, Instant now)
--- a/decide/generationgate.cpp
+++ b/decide/generationgate.cpp
@@ -1,12 +1,12 @@
-// The gate knows the generations that it placed, and forecasts from them how full each engine will get; an engine in
-// whose forecast one more fits is asked for a reservation. The engine knows exactly what it has left and may still
-// refuse: there may be other gates, or generations that outgrew their estimate. The reservation comes before the prompt
-// is read, so a prefill result never waits for a place.
+// The gate knows the generations that it placed and forecasts from them the peak memory of each engine. An engine in
+// whose forecast one more generation fits is asked for a reservation. Only the engine knows its free memory exactly and
+// may still refuse, because of other gates or of generations that exceeded their estimate. The reservation precedes the
+// prefill, so a prefill result never waits for a place.
 //
-// A request that finds no place waits, first among those that can still be on time. Past that it is late whatever
-// happens, and waits behind all that are not: an answer that is on time is worth several late ones to the callers, and
-// a late one more than a refusal. It is rejected when its caller is about to go, or on arrival where those before it
-// already take longer than that at the measured rate.
+// A request without a place waits, first among the requests that can still be on time. After that it is late in any
+// case and waits behind all that are not: an on-time answer is worth several late ones to the callers, and a late
+// answer more than a refusal. It is rejected when its caller is about to give up, or on arrival if the requests before
+// it already take longer than that at the measured rate.
 
 #include "decide/generationgate.h"
 
@@ -19,13 +19,13 @@
 namespace
 {
 
-constexpr double tokenWeight = 0.05; // of one generation in the mean time of a token, over all engines
-constexpr double engineTokenWeight = 0.2; // and at one engine, which ends few of them
-constexpr int mostDoublings = 4;
-constexpr std::int64_t leastEnded = 10; // generations before the time of a token is believed
-constexpr std::int64_t leastMade = 200; // tokens; the time of fewer says little about a step
+constexpr double tokenWeight = 0.05; // weight of one generation in the mean time of a token, over all engines
+constexpr double engineTokenWeight = 0.2; // the same for one engine, where fewer generations end
+constexpr int maxDoublings = 4;
+constexpr std::int64_t minEnded = 10; // generations before the measured time of a token is used
+constexpr std::int64_t minGenerated = 200; // tokens; a shorter output says little about the time of a step
 
-// Within one rank of the callers, those that are late already go behind the others.
+// Within one rank of the callers, requests that are already late go behind the others.
 int queueRank(int rank, bool isLate)
 {
     return rank * 2 + (isLate ? 1 : 0);
@@ -48,70 +48,72 @@
 {
 }
 
-void GenerationGate::setEngines(const std::vector<DecodePlaces> &listed, Instant)
+void GenerationGate::setEngines(const std::vector<DecodeEngine> &listed, Instant)
 {
     std::unordered_map<EngineId, Engine> next;
     this->memory = Tokens(0);
-    for (const DecodePlaces &places : listed) {
-        const auto known = this->engines.find(places.engine);
-        const bool isSameStart = known != this->engines.end() && known->second.places.incarnation == places.incarnation;
+    for (const DecodeEngine &spec : listed) {
+        const auto known = this->engines.find(spec.engine);
+        const bool isSameStart = known != this->engines.end() && known->second.spec.incarnation == spec.incarnation;
         Engine engine = isSameStart ? std::move(known->second) : Engine();
-        engine.places = places;
-        this->memory += places.memory;
-        next.emplace(places.engine, std::move(engine));
+        engine.spec = spec;
+        this->memory += spec.memory;
+        next.emplace(spec.engine, std::move(engine));
     }
     this->engines = std::move(next);
 }
 
-void GenerationGate::setPrefillEngines(const std::vector<PrefillPlace> &listed)
+void GenerationGate::setPrefillEngines(const std::vector<PrefillEngine> &listed)
 {
     this->prefill.setEngines(listed);
 }
 
-// The part of all the memory that a generation takes, for as long as it lives: the time of the whole pool it uses up.
-Duration GenerationGate::costOf(const GenerationAsk &ask) const
+// Cost of a generation: the share of the total memory that it holds, times its duration, which is the time of the whole
+// pool that it uses.
+Duration GenerationGate::costOf(const GenerationRequest &request) const
 {
-    const double life = this->perTokenUs * static_cast<double>(ask.output.value());
+    const double life = this->perTokenUs * static_cast<double>(request.output.value());
     const auto all = static_cast<double>(std::max<std::int64_t>(1, this->memory.value()));
-    return Duration(static_cast<std::int64_t>(static_cast<double>(ask.need().value()) / all * life));
+    return Duration(static_cast<std::int64_t>(static_cast<double>(request.need().value()) / all * life));
 }
 
-void GenerationGate::enqueue(const GenerationAsk &ask, bool isLate)
+void GenerationGate::enqueue(const GenerationRequest &request, bool isLate)
 {
-    this->waitingAsks[ask.id] = ask;
-    this->queue.push({ask.id, WorkspaceId(), queueRank(ask.rank, isLate), this->costOf(ask), ask.arrival,
-                      isLate ? ask.usefulUntil : ask.onTimeUntil});
+    this->waitingRequests[request.id] = request;
+    this->queue.push({request.id, WorkspaceId(), queueRank(request.rank, isLate), this->costOf(request),
+                      request.arrival, isLate ? request.usefulUntil : request.onTimeUntil});
 }
 
-// Of the pool's whole time, as a share.
+// As a share of the time of the whole pool.
 double GenerationGate::offeredLoad(Instant now) const
 {
     const auto window = static_cast<double>(this->options.loadWindow.count());
     return this->offered * std::exp(-static_cast<double>((now - this->offeredAt).count()) / window) / window;
 }
 
-void GenerationGate::submit(const GenerationAsk &ask, Instant now)
+void GenerationGate::submit(const GenerationRequest &request, Instant now)
 {
     const auto window = static_cast<double>(this->options.loadWindow.count());
-    this->offered = this->offeredLoad(now) * window + static_cast<double>(this->costOf(ask).count());
+    this->offered = this->offeredLoad(now) * window + static_cast<double>(this->costOf(request).count());
     this->offeredAt = now;
-    this->addNeed(ask, now);
-    this->enqueue(ask, now >= ask.onTimeUntil);
+    this->addNeed(request, now);
+    this->enqueue(request, now >= request.onTimeUntil);
 }
 
-double GenerationGate::needFade(Instant now) const
+double GenerationGate::needDecay(Instant now) const
 {
     const auto window = static_cast<double>(this->options.needWindow.count());
     return std::exp(-static_cast<double>((now - this->needAt).count()) / window);
 }
 
-void GenerationGate::addNeed(const GenerationAsk &ask, Instant now)
+void GenerationGate::addNeed(const GenerationRequest &request, Instant now)
 {
-    const double fade = this->needFade(now);
-    const auto output = static_cast<double>(this->estimate.expect(ask.output, ask.mostOutput).left(Tokens(0)).value());
-    const double meanHeld = static_cast<double>(ask.prompt.value()) + output / 2;
-    this->promptTokens = this->promptTokens * fade + static_cast<double>(ask.prompt.value());
-    this->heldTokenUs = this->heldTokenUs * fade + meanHeld * output * this->perTokenUs;
+    const double decay = this->needDecay(now);
+    const auto output =
+        static_cast<double>(this->estimate.expect(request.output, request.maxOutput).left(Tokens(0)).value());
+    const double meanHeld = static_cast<double>(request.prompt.value()) + output / 2;
+    this->promptTokens = this->promptTokens * decay + static_cast<double>(request.prompt.value());
+    this->heldTokenUs = this->heldTokenUs * decay + meanHeld * output * this->perTokenUs;
     this->needAt = now;
 }
 
@@ -120,10 +122,11 @@
     return Duration(static_cast<std::int64_t>(engine.perTokenUs.value_or(this->perTokenUs)));
 }
 
-std::optional<double> GenerationGate::fullness(const Engine &engine, const GenerationAsk &ask, Instant now) const
+std::optional<double> GenerationGate::peakShare(const Engine &engine, const GenerationRequest &request,
+                                                Instant now) const
 {
     const bool isFull = (engine.fullUntil && now < *engine.fullUntil)
-        || static_cast<int>(engine.runs.size()) >= engine.places.slots || engine.places.engine == ask.avoid;
+        || static_cast<int>(engine.runs.size()) >= engine.spec.slots || engine.spec.engine == request.avoid;
     if (isFull) {
         return std::nullopt;
     }
@@ -132,50 +135,50 @@
     for (const auto &[id, run] : engine.runs) {
         runs.push_back(run);
     }
-    runs.push_back({ask.prompt, this->estimate.expect(ask.output, ask.mostOutput), now});
+    runs.push_back({request.prompt, this->estimate.expect(request.output, request.maxOutput), now});
     const Tokens peak = peakMemory(runs, this->perToken(engine), now);
-    const double share = static_cast<double>(peak.value()) / static_cast<double>(engine.places.memory.value());
-    // A request larger than the share alone still gets an empty engine.
+    const double share = static_cast<double>(peak.value()) / static_cast<double>(engine.spec.memory.value());
+    // A request larger than the fill limit still gets an empty engine.
     const bool fits = share <= this->options.fill || (engine.runs.empty() && share <= 1);
     return fits ? std::optional(share) : std::nullopt;
 }
 
-GenerationGate::Choice GenerationGate::choose(const GenerationAsk &ask, Instant now)
+GenerationGate::Choice GenerationGate::choose(const GenerationRequest &request, Instant now)
 {
     Choice chosen;
-    double least = std::numeric_limits<double>::max();
+    double lowest = std::numeric_limits<double>::max();
     for (auto &[id, engine] : this->engines) {
-        const auto share = this->fullness(engine, ask, now);
+        const auto share = this->peakShare(engine, request, now);
         if (!share) {
             continue;
         }
-        // Below the share of one generation: breaks ties between engines that look the same, so that gates which know
-        // the same do not all choose the same one.
+        // Smaller than the share of one generation. Breaks ties between engines with equal state, so that gates with
+        // the same view do not all choose the same engine.
         const double jitter = static_cast<double>(this->random() % 1000) * 1e-5;
-        const double far = engine.places.dataCentre == ask.dataCentre ? 0.0 : this->options.farShare;
-        const double cost = *share + far + this->options.faultShare * engine.faults.at(now) + jitter;
-        if (cost < least) {
-            least = cost;
+        const double far = engine.spec.dataCentre == request.dataCentre ? 0.0 : this->options.farPenalty;
+        const double cost = *share + far + this->options.faultPenalty * engine.faults.at(now) + jitter;
+        if (cost < lowest) {
+            lowest = cost;
             chosen = {&engine, *share};
         }
     }
     return chosen;
 }
 
-void GenerationGate::place(const GenerationAsk &ask, Engine &engine, Instant now)
+void GenerationGate::place(const GenerationRequest &request, Engine &engine, Instant now)
 {
-    engine.runs[ask.id] = GrowingRun{ask.prompt, this->estimate.expect(ask.output, ask.mostOutput), now};
-    this->placements[ask.id] = Placement{ask, engine.places.engine, engine.places.incarnation, now, false};
+    engine.runs[request.id] = GrowingRun{request.prompt, this->estimate.expect(request.output, request.maxOutput), now};
+    this->placements[request.id] = Placement{request, engine.spec.engine, engine.spec.incarnation, now, false};
 }
 
-bool GenerationGate::isWithinShare(const GenerationAsk &ask) const
+bool GenerationGate::isWithinShare(const GenerationRequest &request) const
 {
     if (this->share >= 1 || this->placements.empty()) {
         return true;
     }
-    std::int64_t need = ask.need().value();
+    std::int64_t need = request.need().value();
     for (const auto &[id, placement] : this->placements) {
-        need += placement.ask.need().value();
+        need += placement.request.need().value();
     }
     return static_cast<double>(need) <= this->share * static_cast<double>(this->memory.value());
 }
@@ -187,25 +190,25 @@
         if (head == nullptr) {
             return;
         }
-        const GenerationAsk ask = this->waitingAsks.at(head->request);
-        const Choice choice = this->isWithinShare(ask) ? this->choose(ask, now) : Choice();
+        const GenerationRequest request = this->waitingRequests.at(head->request);
+        const Choice choice = this->isWithinShare(request) ? this->choose(request, now) : Choice();
         if (choice.engine == nullptr) {
             return;
         }
         this->queue.pop();
-        this->waitingAsks.erase(ask.id);
-        this->place(ask, *choice.engine, now);
-        const auto reader =
-            this->prefill.start({ask.id, ask.promptName, ask.prompt, choice.engine->places.dataCentre}, now);
-        this->placements.at(ask.id).prefill = reader.value_or(EngineId());
-        actions.push_back(TryReserve{ask.id, choice.engine->places.engine, reader.value_or(EngineId()), choice.forecast,
-                                     now - ask.arrival});
+        this->waitingRequests.erase(request.id);
+        this->place(request, *choice.engine, now);
+        const auto prefillEngine =
+            this->prefill.start({request.id, request.promptName, request.prompt, choice.engine->spec.dataCentre}, now);
+        this->placements.at(request.id).prefill = prefillEngine.value_or(EngineId());
+        actions.push_back(TryReserve{request.id, choice.engine->spec.engine, prefillEngine.value_or(EngineId()),
+                                     choice.forecast, now - request.arrival});
     }
 }
 
 void GenerationGate::reject(std::vector<GateAction> &actions, const QueueItem &item, Instant now)
 {
-    this->waitingAsks.erase(item.request);
+    this->waitingRequests.erase(item.request);
     const Duration backlog = this->queue.backlog(item.rank);
     actions.push_back(
         RejectGeneration{item.request, this->admission.retryAfter(backlog, item.cost, now), now - item.arrival});
@@ -214,23 +217,23 @@
 void GenerationGate::demoteLate(std::vector<GateAction> &actions, Instant now)
 {
     for (const QueueItem &item : this->queue.takeExpired(now)) {
-        const GenerationAsk ask = this->waitingAsks.at(item.request);
-        if (now < ask.usefulUntil) {
-            this->enqueue(ask, true);
+        const GenerationRequest request = this->waitingRequests.at(item.request);
+        if (now < request.usefulUntil) {
+            this->enqueue(request, true);
         } else {
             this->reject(actions, item, now);
         }
     }
 }
 
-// Those behind which more waits than is placed until their last moment in time will be late. Known now, they need not
-// wait for that moment: they are late already, and those that will not be served even late are told so at once. A burst
-// may be over before that moment, and the rate of placing is known to some half only; so until the load has lasted,
-// only those count that would be late at twice the rate.
-void GenerationGate::demoteHopeless(Instant now)
+// Demotes requests that are expected to be late: the backlog before them takes longer to place than the time left to
+// them. They become late at once instead of at their deadline, and those that will not be served even late are refused
+// at once. A burst may end before the deadline, and the measured placement rate may be off by about half, so until the
+// load is sustained only requests that would be late at twice the measured rate are demoted.
+void GenerationGate::demoteExpectedLate(Instant now)
 {
-    const bool lasts = this->offeredLoad(now) > this->options.lastingLoad * this->admission.rate();
-    const double hope = lasts ? 1 : this->options.hopeInBurst;
+    const bool isSustained = this->offeredLoad(now) > this->options.sustainedLoad * this->admission.rate();
+    const double factor = isSustained ? 1 : this->options.burstRateFactor;
     for (const int rank : this->queue.waitingRanks()) {
         while (!isLateRank(rank)) {
             const QueueItem *last = this->queue.last(rank);
@@ -238,18 +241,18 @@
                 break;
             }
             const Duration wait = this->admission.expectedWait(this->queue.backlog(rank) - last->cost);
-            if (static_cast<double>(wait.count()) <= static_cast<double>((last->latest - now).count()) * hope) {
+            if (static_cast<double>(wait.count()) <= static_cast<double>((last->latest - now).count()) * factor) {
                 break;
             }
             const RequestId request = last->request;
             this->queue.takeLast(rank);
-            this->enqueue(this->waitingAsks.at(request), true);
+            this->enqueue(this->waitingRequests.at(request), true);
         }
     }
 }
 
-// Those in time go first, so what is late gets only the rate that they leave, and the small share that the queue keeps
-// for it.
+// On-time requests go first, so late ones get only the rate that those leave, and the small share that the queue
+// reserves for them.
 Duration GenerationGate::expectedWait(int rank, Instant now) const
 {
     if (!isLateRank(rank)) {
@@ -265,8 +268,8 @@
 void GenerationGate::rejectSurplus(std::vector<GateAction> &actions, Instant now)
 {
     while (const auto rank = this->queue.lastRank()) {
-        const GenerationAsk &first = this->waitingAsks.at(this->queue.head(*rank)->request);
-        const bool isTooMany = this->queue.size() > this->options.mostWaiting;
+        const GenerationRequest &first = this->waitingRequests.at(this->queue.head(*rank)->request);
+        const bool isTooMany = this->queue.size() > this->options.maxWaiting;
         const bool isTooLong = this->expectedWait(*rank, now) > first.usefulUntil - first.arrival;
         if (!isTooMany && (!isTooLong || this->queue.size() == 1)) {
             return;
@@ -284,17 +287,17 @@
     std::vector<GateAction> actions;
     this->demoteLate(actions, now);
     this->placeWaiting(actions, now);
-    this->demoteHopeless(now);
+    this->demoteExpectedLate(now);
     this->rejectSurplus(actions, now);
     return actions;
 }
 
 std::optional<StageLoad> GenerationGate::stageLoad(Instant now) const
 {
-    if (this->ended < leastEnded) {
+    if (this->ended < minEnded) {
         return std::nullopt;
     }
-    const double perUs = this->needFade(now) / static_cast<double>(this->options.needWindow.count());
+    const double perUs = this->needDecay(now) / static_cast<double>(this->options.needWindow.count());
     return StageLoad{this->promptTokens * this->prefill.perTokenUs() * perUs, this->heldTokenUs * perUs};
 }
 
@@ -324,7 +327,7 @@
 GenerationGate::Engine *GenerationGate::engineOf(const Placement &placement)
 {
     const auto found = this->engines.find(placement.engine);
-    const bool isSameStart = found != this->engines.end() && found->second.places.incarnation == placement.incarnation;
+    const bool isSameStart = found != this->engines.end() && found->second.spec.incarnation == placement.incarnation;
     return isSameStart ? &found->second : nullptr;
 }
 
@@ -342,15 +345,15 @@
     return placement;
 }
 
-void GenerationGate::adopt(const GenerationAsk &ask, const EngineId &id, Instant since)
+void GenerationGate::adopt(const GenerationRequest &request, const EngineId &id, Instant since)
 {
-    if (this->queue.remove(ask.id)) {
-        this->waitingAsks.erase(ask.id);
+    if (this->queue.remove(request.id)) {
+        this->waitingRequests.erase(request.id);
     }
-    this->take(ask.id);
+    this->take(request.id);
     const auto engine = this->engines.find(id);
     if (engine != this->engines.end()) {
-        this->place(ask, engine->second, since);
+        this->place(request, engine->second, since);
     }
 }
 
@@ -362,18 +365,18 @@
     }
     found->second.isReserved = true;
     const bool othersWait = this->queue.size() > 0;
-    this->admission.onPlaced(this->costOf(found->second.ask), othersWait, found->second.since);
+    this->admission.onPlaced(this->costOf(found->second.request), othersWait, found->second.since);
     if (Engine *engine = this->engineOf(found->second)) {
-        engine->faultsInRow = 0;
+        engine->consecutiveFaults = 0;
     }
 }
 
-void GenerationGate::onRead(const RequestId &id, Instant now)
+void GenerationGate::onPrefilled(const RequestId &id, Instant now)
 {
-    this->prefill.onRead(id, now);
+    this->prefill.onPrefilled(id, now);
 }
 
-void GenerationGate::onReadFailed(const RequestId &id, Instant now)
+void GenerationGate::onPrefillFailed(const RequestId &id, Instant now)
 {
     this->prefill.onFailed(id, now);
 }
@@ -394,7 +397,7 @@
         return;
     }
     if (Engine *engine = this->engineOf(*placement)) {
-        engine->fullUntil = now + this->options.askAgain;
+        engine->fullUntil = now + this->options.fullRetryDelay;
     }
 }
 
@@ -407,17 +410,17 @@
     }
     if (Engine *engine = this->engineOf(*placement)) {
         engine->faults.add(1, now);
-        const Duration pause = this->options.afterFault * (1 << std::min(engine->faultsInRow, mostDoublings));
-        engine->fullUntil = now + std::min(pause, this->options.longestAfterFault);
-        ++engine->faultsInRow;
+        const Duration pause = this->options.faultBackoff * (1 << std::min(engine->consecutiveFaults, maxDoublings));
+        engine->fullUntil = now + std::min(pause, this->options.maxFaultBackoff);
+        ++engine->consecutiveFaults;
     }
 }
 
-void GenerationGate::onEnded(const RequestId &id, bool isEngineFault, Tokens made, Instant now)
+void GenerationGate::onEnded(const RequestId &id, bool isEngineFault, Tokens generated, Instant now)
 {
     this->prefill.onDropped(id, now);
     if (this->queue.remove(id)) {
-        this->waitingAsks.erase(id);
+        this->waitingRequests.erase(id);
         return;
     }
     const auto placement = this->take(id);
@@ -429,18 +432,18 @@
         engine->fullUntil.reset();
         engine->faults.add(isEngineFault ? 1 : 0, now);
     }
-    if (made.value() >= leastMade && !isEngineFault) {
-        this->learn(engine, *placement, made, now);
+    if (generated.value() >= minGenerated && !isEngineFault) {
+        this->learn(engine, *placement, generated, now);
     }
 }
 
-void GenerationGate::learn(Engine *engine, const Placement &placement, Tokens made, Instant now)
+void GenerationGate::learn(Engine *engine, const Placement &placement, Tokens generated, Instant now)
 {
-    const double each = static_cast<double>((now - placement.since).count()) / static_cast<double>(made.value());
+    const double each = static_cast<double>((now - placement.since).count()) / static_cast<double>(generated.value());
     ++this->ended;
     const double weight = std::max(tokenWeight, 1.0 / static_cast<double>(this->ended));
     this->perTokenUs += weight * (each - this->perTokenUs);
-    this->estimate.learn(placement.ask.output, made);
+    this->estimate.learn(placement.request.output, generated);
     if (engine != nullptr) {
         const double before = engine->perTokenUs.value_or(this->perTokenUs);
         engine->perTokenUs = before + engineTokenWeight * (each - before);
--- a/decide/memoryforecast.cpp
+++ b/decide/memoryforecast.cpp
@@ -1,6 +1,6 @@
-// Every run grows by one token a step until its end, then all it held is free at once. So the sum rises in a straight
-// line between two ends, and its peak is just before one of them: it is enough to look there. Runs are sorted by their
-// end; just before the end of one, it and all later ones are there.
+// Every run grows by one token per step until its end and then releases all of its memory at once. The sum therefore
+// rises linearly between two ends, and its peak is just before one of the ends, so only these points need to be
+// examined. Runs are sorted by their end; just before the end of one run, it and all later ones are present.
 
 #include "decide/memoryforecast.h"
 
@@ -11,16 +11,16 @@
 namespace
 {
 
-struct Ahead {
+struct Remaining {
     double held; // tokens now
-    double left; // tokens until its end
+    double left; // tokens until the end
 };
 
-Ahead aheadOf(const GrowingRun &run, double perTokenUs, Instant now)
+Remaining remainingOf(const GrowingRun &run, double perTokenUs, Instant now)
 {
-    const double made = std::max(0.0, static_cast<double>((now - run.started).count()) / perTokenUs);
-    const Tokens left = run.output.left(Tokens(static_cast<std::int64_t>(made)));
-    return {static_cast<double>(run.prompt.value()) + made, static_cast<double>(left.value())};
+    const double generated = std::max(0.0, static_cast<double>((now - run.started).count()) / perTokenUs);
+    const Tokens left = run.output.left(Tokens(static_cast<std::int64_t>(generated)));
+    return {static_cast<double>(run.prompt.value()) + generated, static_cast<double>(left.value())};
 }
 
 } // namespace
@@ -28,19 +28,20 @@
 Tokens peakMemory(const std::vector<GrowingRun> &runs, Duration perToken, Instant now)
 {
     const double perTokenUs = std::max(1.0, static_cast<double>(perToken.count()));
-    std::vector<Ahead> ahead;
-    ahead.reserve(runs.size());
+    std::vector<Remaining> remaining;
+    remaining.reserve(runs.size());
     double held = 0;
     for (const GrowingRun &run : runs) {
-        ahead.push_back(aheadOf(run, perTokenUs, now));
-        held += ahead.back().held;
+        remaining.push_back(remainingOf(run, perTokenUs, now));
+        held += remaining.back().held;
     }
-    std::sort(ahead.begin(), ahead.end(), [](const Ahead &a, const Ahead &b) { return a.left < b.left; });
+    std::sort(remaining.begin(), remaining.end(),
+              [](const Remaining &a, const Remaining &b) { return a.left < b.left; });
     double peak = held;
-    auto count = static_cast<double>(ahead.size());
-    for (const Ahead &next : ahead) {
+    auto count = static_cast<double>(remaining.size());
+    for (const Remaining &next : remaining) {
         peak = std::max(peak, held + count * next.left);
-        held -= next.held; // free from its end on; the growth of the others is counted from now
+        held -= next.held; // released at its end; the growth of the others is counted from now
         count -= 1;
     }
     return Tokens(static_cast<std::int64_t>(peak));
--- a/decide/plainretry.cpp
+++ b/decide/plainretry.cpp
@@ -1,14 +1,14 @@
 #include "decide/plainretry.h"
 
-// Load: an endpoint that is down or full while the others of the service are not. Harm prevented: a caller that hears
-// of one endpoint's trouble. The next try goes to the next endpoint, so an endpoint is asked twice only when all were
-// asked once. The bound on tries keeps a caller from waiting for one deadline after another.
+// If an endpoint is down or full while others of the service are not, the caller should not see the failure. Each
+// attempt goes to the next endpoint, so an endpoint is used twice only after all were used once. The bound on attempts
+// keeps a caller from waiting for one deadline after another.
 //
-// Load: all endpoints of the service fail. Harm prevented: an outage that our retries double. Each try after the first
-// is paid for out of a budget that only answers fill.
+// If all endpoints of the service fail, retries would double the load of the outage. Each attempt after the first is
+// taken from a budget that only successful calls fill.
 //
-// "Not run" is said only where no try sent a byte. An endpoint that answers 503 has had the whole call, and what it did
-// with it is its own matter: that was taken for "not run" before, which nobody can hold to.
+// "Not run" is reported only if no attempt sent a byte. An endpoint that answers 503 has received the whole call and
+// may have run it, so a 503 does not count as "not run".
 
 namespace fescuesill
 {
--- a/decide/plainretry.h
+++ b/decide/plainretry.h
@@ -1,13 +1,13 @@
 #pragma once
 
-// The tries of one call that may be repeated, over the endpoints of its service.
+// The attempts of one repeatable call over the endpoints of its service.
 //
 //     PlainRetry retry(endpoints.size(), attempts);
 //     std::optional<std::size_t> next = retry.first();
 //     while (next) {
 //         next = retry.on(call(endpoints[*next]), budget);
 //     }
-//     if (retry.isAnswered()) { ... hand on the last response ... } else { ... refuse with retry.run() ... }
+//     if (retry.isAnswered()) { ... forward the last response ... } else { ... refuse with retry.run() ... }
 
 #include "decide/retrybudget.h"
 #include "fescuesill/errors.h"
@@ -18,33 +18,33 @@
 namespace fescuesill
 {
 
-// What became of one try.
+// Outcome of one attempt.
 enum class TryOutcome {
-    Answered, // a whole answer to hand on, also an error of the caller's
-    Unavailable, // 503: another endpoint may have room
-    NeverSent, // surely no byte reached the endpoint
-    Lost, // some of the call was sent and no whole answer came
+    Answered, // a complete response to forward, including errors that the caller caused
+    Unavailable, // 503: another endpoint may have capacity
+    NeverSent, // no byte reached the endpoint
+    Lost, // part of the call was sent and no complete response arrived
 };
 
 class PlainRetry
 {
 public:
-    // Tries altogether, the first included.
+    // `attempts`: maximum number of attempts, including the first.
     PlainRetry(std::size_t endpoints, std::size_t attempts);
 
-    // The endpoint of the first try; none where there is no endpoint.
+    // Endpoint of the first attempt; empty if there is no endpoint.
     std::optional<std::size_t> first() const;
-    // The endpoint of the next try; none at the end.
+    // Endpoint of the next attempt; empty at the end.
     std::optional<std::size_t> on(TryOutcome outcome, RetryBudget &budget);
 
     bool isAnswered() const;
-    // Of a call that was not answered.
+    // Run state of a call that was not answered.
     RunState run() const;
 
 private:
     std::size_t endpoints;
     std::size_t attempts;
-    std::size_t tries = 0; // ended
+    std::size_t tries = 0; // completed attempts
     bool answered = false;
     bool mayHaveRun = false;
 };
--- a/decide/poolplan.cpp
+++ b/decide/poolplan.cpp
@@ -1,12 +1,12 @@
-// A request needs time of a prefill engine and memory of a decode engine, so the load that a split serves is the lesser
-// of what the two pools serve, and the best split is where both run out together. The ratio of the two needs depends on
-// the mix of requests and hardly on their rate: the right split is known before a burst, and an idle prefill engine can
-// be moved in time for it. Few engines make the loss of one of them dear, so a split is rated by what it serves whole
-// and with one engine of its weaker pool down.
+// A request needs time of a prefill engine and memory of a decode engine, so the load that a split serves is the
+// minimum over the two pools, and the best split is the one at which both saturate together. The ratio of the two needs
+// depends on the mix of requests and hardly on their rate, so the right split is known before a burst and idle prefill
+// engines can be moved in time for it. With few engines the loss of one is significant, so a split is rated by the load
+// that it serves with all engines and with one engine of its weaker pool down.
 //
-// The two directions are not alike. A prefill engine that is moved was idle. A decode engine runs out of work over
-// seconds and serves nobody until it has changed, so it moves only where prompts are waiting and have been for longer
-// than a crashed engine needs to come back.
+// The two directions differ. A prefill engine that is moved was idle. A decode engine drains over seconds and serves
+// nobody until it has changed stage, so it moves only if prompts are waiting and have been for longer than a crashed
+// engine needs to recover.
 
 #include "decide/poolplan.h"
 
@@ -17,14 +17,14 @@
 namespace
 {
 
-constexpr double leastNeed = 1e-6;
+constexpr double minNeed = 1e-6;
 
 } // namespace
 
 double PoolPlan::served(const PoolSizes &sizes, const PoolNeed &need) const
 {
-    const double prefill = sizes.prefill * this->options.prefillUse / std::max(leastNeed, need.prefill);
-    const double decode = sizes.decode * this->options.decodeUse / std::max(leastNeed, need.decode);
+    const double prefill = sizes.prefill * this->options.prefillUse / std::max(minNeed, need.prefill);
+    const double decode = sizes.decode * this->options.decodeUse / std::max(minNeed, need.decode);
     return std::min(prefill, decode);
 }
 
@@ -40,14 +40,14 @@
 PoolSizes PoolPlan::best(const PoolSizes &sizes, const PoolNeed &need) const
 {
     PoolSizes best = sizes;
-    double most = this->servedWithLosses(sizes, need);
+    double highest = this->servedWithLosses(sizes, need);
     const int all = sizes.prefill + sizes.decode;
-    const int least = this->options.leastPerPool;
-    for (int prefill = least; prefill <= all - least; ++prefill) {
+    const int minimum = this->options.minPerPool;
+    for (int prefill = minimum; prefill <= all - minimum; ++prefill) {
         const PoolSizes split{prefill, all - prefill};
         const double served = this->servedWithLosses(split, need);
-        if (served > most) {
-            most = served;
+        if (served > highest) {
+            highest = served;
             best = split;
         }
     }
@@ -57,12 +57,12 @@
 std::optional<Pool> PoolPlan::shortPool(const PoolSizes &sizes, const PoolSizes &wanted, const PoolNeed &need) const
 {
     const double gain = this->servedWithLosses(wanted, need) / this->servedWithLosses(sizes, need) - 1;
-    if (gain < this->options.leastGain) {
+    if (gain < this->options.minGain) {
         return std::nullopt;
     }
     if (wanted.decode > sizes.decode) {
         const double use = need.decode / (sizes.decode * this->options.decodeUse);
-        return use > this->options.leastUse ? std::optional(Pool::Decode) : std::nullopt;
+        return use > this->options.minUse ? std::optional(Pool::Decode) : std::nullopt;
     }
     const double use = need.prefill / (sizes.prefill * this->options.prefillUse);
     return use > 1 ? std::optional(Pool::Prefill) : std::nullopt;
@@ -86,7 +86,7 @@
     }
     this->moved = now;
     this->wantedPool.reset();
-    // One at a time towards prefill: each costs answers that the engine would have written.
+    // Towards prefill, one engine at a time: each move costs the answers that the engine would have decoded.
     return PoolMove{*pool, toDecode ? wanted.decode - sizes.decode : 1};
 }
 
--- a/decide/poolplan.h
+++ b/decide/poolplan.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// How many engines of a model should prefill and how many should decode.
+// Plans how many engines of a model should prefill and how many should decode.
 //
 //     PoolPlan plan(PoolPlan::Options{});
 //     if (const auto move = plan.observe({4, 8}, {1.2, 3.9}, now)) {
@@ -19,14 +19,14 @@
     int decode = 0;
 };
 
-// What callers ask for, as the number of engines that would be in use all the time.
+// Demand of the callers, as the number of engines that would be in use all the time.
 struct PoolNeed {
     double prefill = 0; // engine time
     double decode = 0; // engine memory
 };
 
 struct PoolMove {
-    Pool pool = Pool::Decode; // that gets the engines
+    Pool pool = Pool::Decode; // receives the engines
     int engines = 0;
 };
 
@@ -34,23 +34,25 @@
 {
 public:
     struct Options {
-        // Share of the prefill engines' time up to which prompts are read within the time kept for a read.
+        // Maximum utilisation of the prefill engines at which prompts are prefilled within the time budget of a
+        // prefill.
         double prefillUse = 0.8;
-        // Share of the decode memory in use on average when the forecast leaves no room for a further generation.
+        // Mean utilisation of the decode memory at which the forecast leaves no room for another generation.
         double decodeUse = 0.85;
-        // Share of the time that one engine of either pool is taken to be down.
+        // Assumed share of the time in which one engine of either pool is down.
         double downShare = 0.3;
-        // Smallest increase of the served load that is worth a move.
-        double leastGain = 0.05;
-        // A pool in use below this share of what it can serve gets no engine: a doubled load still fits.
-        double leastUse = 0.4;
-        // How long a pool must be short. Prefill engines finish their reads within a second; a decode engine ends
-        // generations of seconds before it changes, and is missed meanwhile.
+        // Minimum relative increase of the served load for a move.
+        double minGain = 0.05;
+        // A pool whose utilisation is below this share of its capacity gets no engine, because twice its load still
+        // fits.
+        double minUse = 0.4;
+        // How long a pool must be short of engines before a move. Prefill engines finish their prefills within a
+        // second; a decode engine first completes generations of several seconds and is unavailable meanwhile.
         Duration sustainedDecode{1s};
         Duration sustainedPrefill{10s};
-        // Between the end of one move and the next.
+        // Minimum time between two moves.
         Duration pause{15s};
-        int leastPerPool = 2; // one may crash
+        int minPerPool = 2; // tolerates the crash of one
     };
 
     explicit PoolPlan(const Options &given)
@@ -58,9 +60,9 @@
     {
     }
 
-    // `sizes`: with engines that are changing or were lost for a moment in the pool that they will be in.
+    // `sizes`: engines that are changing stage or were lost for a moment count in the pool that they will be in.
     std::optional<PoolMove> observe(const PoolSizes &sizes, const PoolNeed &need, Instant now);
-    // The split of as many engines that serves most.
+    // The split of the same number of engines that serves the highest load.
     PoolSizes best(const PoolSizes &sizes, const PoolNeed &need) const;
     // The multiple of the need that a split serves.
     double served(const PoolSizes &sizes, const PoolNeed &need) const;
--- a/decide/prefillchoice.h
+++ b/decide/prefillchoice.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Which prefill engine reads a prompt where the leader named none or the one that it named failed, on one host that
-// sees its own share of the load.
+// Chooses the prefill engine for a prompt if the leader named none or the one that it named failed. It runs on one host
+// and sees only the load of this host.
 //
 //     PrefillChoice choice(seed);
 //     const PromptKey prompt{"a41f", Tokens(5200)};
@@ -9,9 +9,9 @@
 //     choice.onSent(*engine, Tokens(5200));
 //     choice.onEnded(*engine, Tokens(5200), isFault, now);
 //
-// Load: a host dies with a hundred answers half written, and their callers come to other hosts to have them gone on
-// with. Harm prevented: all of their prompts are read anew, by engines that the next callers wait for. Each prompt has
-// one engine that it goes to first on every host, so there its text is mostly in memory still.
+// Guards against recomputing all prompts when a host dies with a hundred answers in progress and their callers resume
+// at other hosts: the engines would be busy with these prompts while new callers wait. Each prompt has one preferred
+// engine that is the same on every host, so most of it is usually still in the cache of that engine.
 
 #include "decide/faultrate.h"
 #include "fescuesill/ids.h"
@@ -25,7 +25,7 @@
 namespace fescuesill
 {
 
-// What is read: the name that callers give the prompt's own part, and the size of the whole.
+// The prompt to prefill: the name that callers give to the prompt's own part, and the size of the whole prompt.
 struct PromptKey {
     std::string name;
     Tokens size;
@@ -33,7 +33,7 @@
 
 struct PrefillCandidate {
     EngineId engine;
-    bool isNearDecode = false; // in the data centre of the engine that will write the answer
+    bool isNearDecode = false; // in the data centre of the engine that decodes the answer
 };
 
 class PrefillChoice
@@ -45,13 +45,13 @@
     }
 
     std::optional<EngineId> pick(const std::vector<PrefillCandidate> &candidates, const PromptKey &prompt, Instant now);
-    // It has not failed lately.
-    bool isSound(const EngineId &engine, Instant now) const;
+    // Whether the engine has not failed recently.
+    bool isHealthy(const EngineId &engine, Instant now) const;
     void onSent(const EngineId &engine, Tokens prompt);
     void onEnded(const EngineId &engine, Tokens prompt, bool isFault, Instant now);
-    // A result that it had made could not be had from it.
+    // A prefill result of this engine could not be fetched.
     void onResultLost(const EngineId &engine, Instant now);
-    // Its state is dropped; it may come back as another start.
+    // Drops the state of an engine; it may return as a new instance.
     void forget(const EngineId &engine)
     {
         this->loads.erase(engine);
@@ -59,7 +59,7 @@
 
 private:
     struct Load {
-        Tokens reading; // for this host
+        Tokens pending; // prompt tokens in progress for this host
         FaultRate faults;
     };
 
--- a/decide/prefillpool.cpp
+++ b/decide/prefillpool.cpp
@@ -1,15 +1,16 @@
-// Each engine reads its jobs in the order given. What is ahead of a new one is the expected time of all of them, less
-// the time that the first has been read; each report of a finished read corrects it. The engine that will have read the
-// prompt first gets it, so the pool works as one queue with many servers: hosts that choose for themselves see only
-// their own reads, and leave prompts waiting at one engine while another is idle.
+// Each engine processes its jobs in the order of arrival. The expected wait of a new job is the expected time of all
+// queued jobs less the time for which the first has been running; each report of a completed prefill corrects it. The
+// prompt goes to the engine that will complete it first, so the pool works as one queue with many servers. Hosts that
+// choose for themselves see only their own prefills and leave prompts waiting at one engine while another is idle.
 //
-// Prompts wait with the scheduler, where they cost nothing, and not at an engine, where each holds decode memory.
+// Prompts wait at the scheduler, where they hold no resources, and not at an engine, where each holds decode memory.
 //
-// A prompt has a home (PromptHome). A caller whose answer broke off comes back
-// with the same prompt, perhaps when every scheduler was restarted, and finds most of it in the cache of its home. The
-// preference is worth less than a read, so it never sends a prompt behind another one that has just begun.
+// A prompt has a home (PromptHome). A caller whose answer was interrupted retries with the same prompt, possibly after
+// all schedulers have restarted, and finds most of it in the cache of its home. The preference is worth less than one
+// prefill, so it never sends a prompt behind another one that has just started.
 //
-// A read much faster than the engine's others came from its cache and says nothing of its speed.
+// A prefill that is much faster than others on the engine was served from its cache and is no sample of the engine's
+// speed.
 
 #include "decide/prefillpool.h"
 
@@ -22,9 +23,9 @@
 namespace
 {
 
-constexpr double cachedShare = 0.3; // of the expected time: a shorter read came from the cache
-constexpr double slowest = 50; // bounds the effect of one stall
-constexpr int mostDoublings = 4;
+constexpr double cachedShare = 0.3; // of the expected time: a shorter prefill was served from the cache
+constexpr double maxSlowness = 50; // bounds the effect of one stall
+constexpr int maxDoublings = 4;
 
 Duration scaled(Duration time, double factor)
 {
@@ -33,24 +34,24 @@
 
 } // namespace
 
-void PrefillPool::setEngines(const std::vector<PrefillPlace> &listed)
+void PrefillPool::setEngines(const std::vector<PrefillEngine> &listed)
 {
     std::unordered_map<EngineId, Engine> next;
-    for (const PrefillPlace &place : listed) {
-        const auto known = this->engines.find(place.engine);
+    for (const PrefillEngine &entry : listed) {
+        const auto known = this->engines.find(entry.engine);
         Engine engine = known == this->engines.end() ? Engine() : std::move(known->second);
-        engine.dataCentre = place.dataCentre;
-        next.emplace(place.engine, std::move(engine));
+        engine.dataCentre = entry.dataCentre;
+        next.emplace(entry.engine, std::move(engine));
     }
     this->engines = std::move(next);
-    for (auto read = this->reading.begin(); read != this->reading.end();) {
-        read = this->engines.count(read->second) == 0 ? this->reading.erase(read) : std::next(read);
+    for (auto entry = this->assigned.begin(); entry != this->assigned.end();) {
+        entry = this->engines.count(entry->second) == 0 ? this->assigned.erase(entry) : std::next(entry);
     }
 }
 
 Duration PrefillPool::nominal(Tokens size) const
 {
-    return this->options.perRead
+    return this->options.perPrefill
         + Duration(static_cast<Duration::rep>(static_cast<double>(size.value()) * this->options.perTokenUs));
 }
 
@@ -87,7 +88,7 @@
         if (!this->isWorking(engine, now)) {
             continue;
         }
-        if (this->ahead(engine, now) <= this->options.longestQueue) {
+        if (this->ahead(engine, now) <= this->options.maxQueue) {
             return true;
         }
         isAnyWorking = true;
@@ -100,53 +101,53 @@
     if (this->mayStart(now)) {
         return now;
     }
-    Duration least = this->options.overdueFloor;
+    Duration shortest = this->options.overdueFloor;
     for (const auto &[id, engine] : this->engines) {
         if (this->isWorking(engine, now)) {
-            least = std::min(least, this->ahead(engine, now) - this->options.longestQueue);
+            shortest = std::min(shortest, this->ahead(engine, now) - this->options.maxQueue);
         }
     }
-    return now + least;
+    return now + shortest;
 }
 
-std::optional<EngineId> PrefillPool::start(const PrefillAsk &read, Instant now)
+std::optional<EngineId> PrefillPool::start(const PrefillRequest &prefill, Instant now)
 {
-    PromptHome home(read.prompt);
+    PromptHome home(prefill.prompt);
     for (const auto &[id, engine] : this->engines) {
         home.offer(id);
     }
-    const Duration nominal = this->nominal(read.size);
+    const Duration nominal = this->nominal(prefill.size);
     const EngineId *chosen = nullptr;
-    Duration least = Duration::max();
+    Duration shortest = Duration::max();
     for (const auto &[id, engine] : this->engines) {
         if (!this->isWorking(engine, now)) {
             continue;
         }
         Duration cost = this->ahead(engine, now) + scaled(nominal, engine.slowness);
-        cost += engine.dataCentre == read.decode ? Duration(0) : this->options.farCost;
+        cost += engine.dataCentre == prefill.decode ? Duration(0) : this->options.farCost;
         cost -= home.is(id) ? scaled(nominal, this->options.homeShare) : Duration(0);
-        if (cost < least) {
-            least = cost;
+        if (cost < shortest) {
+            shortest = cost;
             chosen = &id;
         }
     }
     if (chosen == nullptr) {
         return std::nullopt;
     }
-    this->onDropped(read.request, now);
-    this->engines.at(*chosen).jobs.push_back({read.request, nominal, now});
-    this->reading.emplace(read.request, *chosen);
+    this->onDropped(prefill.request, now);
+    this->engines.at(*chosen).jobs.push_back({prefill.request, nominal, now});
+    this->assigned.emplace(prefill.request, *chosen);
     return *chosen;
 }
 
 std::optional<PrefillPool::Removed> PrefillPool::remove(const RequestId &request, Instant now)
 {
-    const auto read = this->reading.find(request);
-    if (read == this->reading.end()) {
+    const auto entry = this->assigned.find(request);
+    if (entry == this->assigned.end()) {
         return std::nullopt;
     }
-    Engine &engine = this->engines.at(read->second);
-    this->reading.erase(read);
+    Engine &engine = this->engines.at(entry->second);
+    this->assigned.erase(entry);
     const auto job = std::find_if(engine.jobs.begin(), engine.jobs.end(),
                                   [&](const Job &other) { return other.request == request; });
     const Removed removed{&engine, *job, job == engine.jobs.begin()};
@@ -157,7 +158,7 @@
     return removed;
 }
 
-void PrefillPool::onRead(const RequestId &request, Instant now)
+void PrefillPool::onPrefilled(const RequestId &request, Instant now)
 {
     const auto removed = this->remove(request, now);
     if (!removed) {
@@ -168,7 +169,7 @@
         return;
     }
     const auto took = static_cast<double>((now - removed->job.started).count());
-    const double ratio = std::min(took / static_cast<double>(removed->job.nominal.count()), slowest);
+    const double ratio = std::min(took / static_cast<double>(removed->job.nominal.count()), maxSlowness);
     if (ratio > cachedShare * engine.slowness) {
         engine.slowness += this->options.speedWeight * (ratio - engine.slowness);
     }
@@ -185,15 +186,16 @@
 
 void PrefillPool::avoid(Engine &engine, Instant now) const
 {
-    if (now - engine.avoidedUntil > this->options.forgetFailures) {
-        engine.failuresInRow = 0;
+    if (now - engine.avoidedUntil > this->options.failureReset) {
+        engine.consecutiveFailures = 0;
     }
-    const Duration pause = this->options.afterFailure * (1 << std::min(engine.failuresInRow, mostDoublings));
-    engine.avoidedUntil = now + std::min(pause, this->options.longestAfterFailure);
-    ++engine.failuresInRow;
+    const Duration pause = this->options.failureBackoff * (1 << std::min(engine.consecutiveFailures, maxDoublings));
+    engine.avoidedUntil = now + std::min(pause, this->options.maxFailureBackoff);
+    ++engine.consecutiveFailures;
 }
 
-// Reads that were under way when the first result was lost may lose theirs too; they tell nothing new.
+// Prefills that were in progress when the first result was lost may lose theirs too, so losses during the backoff are
+// not counted as further failures.
 void PrefillPool::onResultLost(const EngineId &id, Instant now)
 {
     const auto engine = this->engines.find(id);
--- a/decide/prefillpool.h
+++ b/decide/prefillpool.h
@@ -1,12 +1,13 @@
 #pragma once
 
-// Which prefill engine reads the next prompt of a pool, and when it may start, for one scheduler that sees all reads.
+// Decides which prefill engine of a pool takes the next prompt and when it may start, for one scheduler that sees all
+// prefills.
 //
 //     PrefillPool pool(PrefillPool::Options{});
 //     pool.setEngines({{EngineId("p1"), DataCentreId("a")}, {EngineId("p2"), DataCentreId("b")}});
 //     if (pool.mayStart(now)) { const auto engine = pool.start({request, "a41f", Tokens(5200), nearDecode}, now); ... }
-//     else { ... ask again at pool.nextStart(now) ... }
-//     pool.onRead(request, now);                 // or onFailed; onDropped where it was not read after all
+//     else { ... poll again at pool.nextStart(now) ... }
+//     pool.onPrefilled(request, now);            // or onFailed; onDropped if the prefill was cancelled
 
 #include "fescuesill/ids.h"
 #include "fescuesill/units.h"
@@ -19,42 +20,42 @@
 namespace fescuesill
 {
 
-struct PrefillPlace {
+struct PrefillEngine {
     EngineId engine;
     DataCentreId dataCentre;
 };
 
-struct PrefillAsk {
+struct PrefillRequest {
     RequestId request;
-    std::string prompt; // its own part, which names it; empty where it has none
+    std::string prompt; // name of the prompt's own part; empty if it has none
     Tokens size;
-    DataCentreId decode; // where the result goes
+    DataCentreId decode; // destination of the result
 };
 
 class PrefillPool
 {
 public:
     struct Options {
-        // Reads that may wait in front of an engine, as time.
-        Duration longestQueue{150ms};
-        // Of one token and of one call, until measured.
+        // Maximum expected time of the prefills queued at an engine.
+        Duration maxQueue{150ms};
+        // Time per token and per call until the first measurement.
         double perTokenUs = 20;
-        Duration perRead{10ms};
-        // Weight of one read in an engine's speed.
+        Duration perPrefill{10ms};
+        // Weight of one prefill in the measured speed of an engine.
         double speedWeight = 0.2;
-        // A result that crosses between data centres takes longer and is dearer.
+        // Extra cost of transferring a result between data centres.
         Duration farCost{15ms};
-        // Share of its read time by which the home of a prompt is preferred.
+        // Share of the prefill time of a prompt by which its home is preferred.
         double homeShare = 0.5;
-        // An engine whose read takes this many times the expected time, and no less than the floor, gets no further
-        // one.
+        // An engine whose prefill exceeds both this multiple of the expected time and the floor gets no further
+        // prefill.
         double overdueFactor = 4;
         Duration overdueFloor{300ms};
-        // After a failed read, doubled at each further one up to the longest.
-        Duration afterFailure{250ms};
-        Duration longestAfterFailure{2s};
-        // Without a further failure, after which the next one counts as the first.
-        Duration forgetFailures{4s};
+        // Backoff after a failed prefill, doubled with each further one up to the maximum.
+        Duration failureBackoff{250ms};
+        Duration maxFailureBackoff{2s};
+        // Time without a failure after which the next one counts as the first.
+        Duration failureReset{4s};
     };
 
     explicit PrefillPool(const Options &given)
@@ -62,40 +63,40 @@
     {
     }
 
-    // Keeps what is known of those listed before; reads on others are forgotten.
-    void setEngines(const std::vector<PrefillPlace> &listed);
-    // Whether an engine has room for one more read; true where there is no engine to wait for.
+    // Keeps the state of engines that were listed before; drops prefills on engines that are no longer listed.
+    void setEngines(const std::vector<PrefillEngine> &listed);
+    // Whether an engine can accept one more prefill; also true if there is no engine to wait for.
     bool mayStart(Instant now) const;
-    // The first instant at which it may.
+    // The earliest instant at which a prefill may start.
     Instant nextStart(Instant now) const;
-    // The engine that will have read it first. None where no engine is in working order.
-    std::optional<EngineId> start(const PrefillAsk &read, Instant now);
-    void onRead(const RequestId &request, Instant now);
+    // Assigns the prefill to the engine that will complete it first. Empty if no engine is working.
+    std::optional<EngineId> start(const PrefillRequest &prefill, Instant now);
+    void onPrefilled(const RequestId &request, Instant now);
     void onFailed(const RequestId &request, Instant now);
     void onDropped(const RequestId &request, Instant now);
-    // A result that the engine had made could not be had from it.
+    // A prefill result of this engine could not be fetched.
     void onResultLost(const EngineId &engine, Instant now);
-    // Microseconds that one token takes on average over the engines.
+    // Mean time of one token over the engines, in microseconds.
     double perTokenUs() const;
 
 private:
     struct Job {
         RequestId request;
         Duration nominal{0};
-        Instant started; // when the engine could begin with it
+        Instant started; // when the engine was able to start it
     };
     struct Engine {
         DataCentreId dataCentre;
-        std::vector<Job> jobs; // in the order in which they are read
+        std::vector<Job> jobs; // in the order of processing
         double slowness = 1;
         Instant avoidedUntil;
-        int failuresInRow = 0;
+        int consecutiveFailures = 0;
     };
 
     Duration nominal(Tokens size) const;
     Duration ahead(const Engine &engine, Instant now) const;
     bool isWorking(const Engine &engine, Instant now) const;
-    // Removes the job; its engine and whether it was the one being read.
+    // A removed job, its engine, and whether it was the one in progress.
     struct Removed {
         Engine *engine = nullptr;
         Job job;
@@ -106,7 +107,7 @@
 
     Options options;
     std::unordered_map<EngineId, Engine> engines;
-    std::unordered_map<RequestId, EngineId> reading;
+    std::unordered_map<RequestId, EngineId> assigned;
 };
 
 } // namespace fescuesill
--- a/decide/prompthome.h
+++ b/decide/prompthome.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// The prefill engine that every host sends a prompt to by preference: most of the prompt is in its cache if it was read
-// before.
+// The home of a prompt: the prefill engine that every host prefers for it. If the prompt was prefilled before, most of
+// it is in the cache of its home.
 //
 //     PromptHome home("a41f");
 //     for (const EngineId &engine : engines) { home.offer(engine); }
 //     home.is(engine);
 //
-// It is the engine with the highest hash of both names (rendezvous hashing): hosts agree on it without a message, and
-// an engine that comes or goes moves only the prompts that it gets or had.
+// The home is the engine with the highest hash of both names (rendezvous hashing). Hosts agree on it without
+// communication, and adding or removing an engine moves only the prompts that the engine gains or loses.
 
 #include "fescuesill/ids.h"
 
@@ -22,13 +22,13 @@
 class PromptHome
 {
 public:
-    // `name` outlives this; a prompt without a name has no home.
+    // `name` must outlive this object; a prompt without a name has no home.
     explicit PromptHome(const std::string &name)
         : prompt(name)
     {
     }
 
-    // `engine` outlives this.
+    // `engine` must outlive this object.
     void offer(const EngineId &engine)
     {
         if (this->prompt.empty()) {
--- a/decide/retrybudget.h
+++ b/decide/retrybudget.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Retries allowed as a share of recent successes.
+// Limits retries to a share of recent successes.
 //
 //     RetryBudget budget(RetryBudget::Options{});
 //     budget.onSuccess();
@@ -11,30 +11,30 @@
 namespace fescuesill
 {
 
-// Load: an outage in which every request fails and would be sent again. Harm prevented: the retries double the load on
-// what is left, so that it fails as well. With a budget retries are at most a share of what succeeds, and end when
-// nothing does.
+// Guards against an outage in which every request fails and is retried: the retries would double the load on the
+// remaining endpoints, so that they fail as well. With a budget, retries are at most a share of the successes and stop
+// when nothing succeeds.
 class RetryBudget
 {
 public:
     struct Options {
-        // Retries for each success.
+        // Retries earned per success.
         double share = 0.1;
-        // Saved up at most: covers the death of one engine with twenty requests.
-        double most = 20;
-        // At the start, before there were successes.
+        // Maximum balance: covers the death of one engine with twenty requests.
+        double maxBalance = 20;
+        // Balance before the first success.
         double initial = 5;
     };
 
     explicit RetryBudget(const Options &options)
         : options(options)
-        , balance(std::min(options.initial, options.most))
+        , balance(std::min(options.initial, options.maxBalance))
     {
     }
 
     void onSuccess()
     {
-        this->balance = std::min(this->options.most, this->balance + this->options.share);
+        this->balance = std::min(this->options.maxBalance, this->balance + this->options.share);
     }
     bool take()
     {
--- a/decide/routetable.cpp
+++ b/decide/routetable.cpp
@@ -1,6 +1,6 @@
-// A prefix ends at a slash, so the candidates for a path are the path cut after each of its slashes, longest first: one
-// hash look-up for each. That costs the depth of the path, not the number of routes; a list that grows by thousands of
-// routes makes no call slower.
+// A prefix ends with a slash, so the candidates for a path are the path cut after each of its slashes, longest first,
+// with one hash lookup each. The cost depends on the depth of the path and not on the number of routes, so a table with
+// thousands of further routes makes no call slower.
 
 #include "decide/routetable.h"
 
@@ -13,14 +13,14 @@
 namespace
 {
 
-std::string placeOf(std::string_view host, std::string_view prefix)
+std::string keyOf(std::string_view host, std::string_view prefix)
 {
-    std::string place;
-    place.reserve(host.size() + 1 + prefix.size());
-    place.append(host);
-    place.push_back('\n');
-    place.append(prefix);
-    return place;
+    std::string key;
+    key.reserve(host.size() + 1 + prefix.size());
+    key.append(host);
+    key.push_back('\n');
+    key.append(prefix);
+    return key;
 }
 
 std::string_view withoutPort(std::string_view host)
@@ -28,17 +28,17 @@
     return host.substr(0, host.find(':'));
 }
 
-std::string faultOf(const Route &route)
+std::string problemOf(const Route &route)
 {
     if (route.prefix.empty() || route.prefix.front() != '/' || route.prefix.back() != '/') {
-        return "a prefix begins and ends with a slash: '" + route.prefix + "'";
+        return "a prefix must begin and end with a slash: '" + route.prefix + "'";
     }
     if (route.services.empty()) {
-        return "no service";
+        return "the route has no service";
     }
     for (const WeightedService &share : route.services) {
         if (share.weight < 0 || share.service.isEmpty()) {
-            return "a share needs a service and a weight of 0 or more";
+            return "a weighted service needs a name and a weight of 0 or more";
         }
     }
     return {};
@@ -68,10 +68,10 @@
     table.routes = std::move(routes);
     for (std::size_t index = 0; index < table.routes.size(); ++index) {
         const Route &route = table.routes[index];
-        if (std::string fault = faultOf(route); !fault.empty()) {
-            return tl::make_unexpected(RouteError{route.name, std::move(fault)});
+        if (std::string problem = problemOf(route); !problem.empty()) {
+            return tl::make_unexpected(RouteError{route.name, std::move(problem)});
         }
-        if (!table.byPlace.emplace(placeOf(route.host, route.prefix), index).second) {
+        if (!table.byKey.emplace(keyOf(route.host, route.prefix), index).second) {
             return tl::make_unexpected(RouteError{route.name, "another route has the same host and prefix"});
         }
     }
@@ -82,8 +82,8 @@
 {
     host = withoutPort(host);
     for (std::size_t slash = path.rfind('/'); slash != std::string_view::npos; slash = path.rfind('/', slash - 1)) {
-        const auto found = this->byPlace.find(placeOf(host, path.substr(0, slash + 1)));
-        if (found != this->byPlace.end()) {
+        const auto found = this->byKey.find(keyOf(host, path.substr(0, slash + 1)));
+        if (found != this->byKey.end()) {
             return &this->routes[found->second];
         }
         if (slash == 0) {
@@ -95,8 +95,8 @@
 
 const Route *RouteTable::at(std::string_view host, std::string_view prefix) const
 {
-    const auto found = this->byPlace.find(placeOf(host, prefix));
-    return found == this->byPlace.end() ? nullptr : &this->routes[found->second];
+    const auto found = this->byKey.find(keyOf(host, prefix));
+    return found == this->byKey.end() ? nullptr : &this->routes[found->second];
 }
 
 const ServiceId &chooseService(const Route &route, const RequestId &request)
--- a/decide/routetable.h
+++ b/decide/routetable.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Which service a forwarded call goes to, and how it may be treated on the way.
+// Maps a forwarded call to its service and to the rules for handling it.
 //
 //     const RouteTable routes = RouteTable::create(std::move(listed)).value();
 //     const Route *route = routes.find("shop.example", "/orders/7");      // null: no route
@@ -18,7 +18,7 @@
 namespace fescuesill
 {
 
-// What may be done with a call that got no answer.
+// How often a call that got no response may run.
 enum class CallKind {
     Repeatable, // may run any number of times
     Once, // may run at most once for each request id
@@ -36,12 +36,12 @@
     std::string host;
     std::string prefix; // begins and ends with a slash
     CallKind kind = CallKind::Once;
-    bool isResumable = false; // a generation may go on at another engine after its last whole event
-    Duration timeout{0}; // a call that is not answered by then is given up
-    Duration target{0}; // to the answer, or to the first event of a generation
-    Duration longestPause{0}; // between two events for which a generation is still in time
+    bool isResumable = false; // a generation may resume at another engine after its last complete event
+    Duration timeout{0}; // a call without a response by then fails
+    Duration target{0}; // time to the response, or to the first event of a generation
+    Duration longestPause{0}; // maximum pause between two events of a generation that is on time
     int rank = 0; // lower goes first
-    int attempts = 1; // endpoints that one call may be sent to
+    int attempts = 1; // maximum number of endpoints for one call
     std::vector<WeightedService> services;
 };
 bool operator==(const Route &a, const Route &b);
@@ -55,12 +55,13 @@
 {
 public:
     RouteTable() = default;
-    // Refuses prefixes without their slashes, routes without a service, and two routes for the same place.
+    // Rejects prefixes that do not begin and end with a slash, routes without a service, and two routes with the same
+    // host and prefix.
     static tl::expected<RouteTable, RouteError> create(std::vector<Route> routes);
 
-    // The longest prefix of the path among the routes of this host; a port behind the host's name does not count.
+    // Finds the route with the longest matching prefix for this host; a port in `host` is ignored.
     const Route *find(std::string_view host, std::string_view path) const;
-    // The route of exactly this prefix.
+    // Finds the route with exactly this prefix.
     const Route *at(std::string_view host, std::string_view prefix) const;
     const std::vector<Route> &all() const
     {
@@ -69,10 +70,10 @@
 
 private:
     std::vector<Route> routes;
-    std::unordered_map<std::string, std::size_t> byPlace; // host, line feed, prefix
+    std::unordered_map<std::string, std::size_t> byKey; // host, line feed, prefix
 };
 
-// The same request always gets the same service of a split, on every host.
+// Chooses by hash of the request id, so the same request gets the same service of a split on every host.
 const ServiceId &chooseService(const Route &route, const RequestId &request);
 
 } // namespace fescuesill
--- a/decide/routingchange.cpp
+++ b/decide/routingchange.cpp
@@ -1,8 +1,8 @@
-// Routes are known by their place: a host and a prefix have one route. The change lists the places that have none any
-// more and every route that differs, so its size is that of the difference, not of the configuration.
+// A route is identified by its key: there is one route per host and prefix. The change lists the keys that were removed
+// and every route that differs, so its size is proportional to the difference and not to the configuration.
 //
-// The digest adds the hashes of the single routes. It needs no common order, and a route that is missing, doubled or
-// different on one side changes the sum.
+// The digest is the sum of the hashes of the single routes, so it does not depend on their order. A route that is
+// missing, duplicated or different on one side changes the sum.
 
 #include "decide/routingchange.h"
 
@@ -32,7 +32,7 @@
     {
         XXH3_64bits_update(this->state.get(), &number, sizeof number);
     }
-    // With its length: two texts side by side are not two others of the same bytes.
+    // Includes the length, so that different pairs of adjacent strings with the same bytes differ.
     void add(const std::string &text)
     {
         this->add(static_cast<std::int64_t>(text.size()));
@@ -129,8 +129,8 @@
 tl::expected<RoutingConfig, RoutingChangeError> applyChange(const RoutingConfig &earlier, const RoutingChange &change)
 {
     std::unordered_set<const Route *> replaced;
-    for (const RoutePlace &place : change.removed) {
-        replaced.insert(earlier.routes.at(place.host, place.prefix));
+    for (const RouteKey &key : change.removed) {
+        replaced.insert(earlier.routes.at(key.host, key.prefix));
     }
     for (const Route &route : change.set) {
         replaced.insert(earlier.routes.at(route.host, route.prefix));
@@ -155,7 +155,8 @@
         config.services.emplace(service.id, service);
     }
     if (digestOf(config) != change.digest) {
-        return tl::make_unexpected(RoutingChangeError{"the result differs from the configuration it was made from"});
+        return tl::make_unexpected(
+            RoutingChangeError{"the result differs from the configuration that the change leads to"});
     }
     return config;
 }
--- a/decide/routingchange.h
+++ b/decide/routingchange.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// What turns one version of the routing configuration into a later one, for hosts that have the earlier one.
+// The difference between two versions of the routing configuration, for hosts that have the earlier one.
 //
 //     const RoutingChange change = changeBetween(earlier, later);
 //     const auto result = applyChange(earlier, change);
-//     if (!result) { ... read the configuration whole ... }
+//     if (!result) { ... read the complete configuration ... }
 
 #include "decide/routingconfig.h"
 
@@ -13,16 +13,16 @@
 namespace fescuesill
 {
 
-struct RoutePlace {
+struct RouteKey {
     std::string host;
     std::string prefix;
 };
 
 struct RoutingChange {
     ConfigVersion version;
-    std::vector<RoutePlace> removed;
-    std::vector<Route> set; // new ones, and changed ones as they are now
-    std::vector<ForwardedService> services; // all of them
+    std::vector<RouteKey> removed;
+    std::vector<Route> set; // new routes, and changed ones in their new form
+    std::vector<ForwardedService> services; // all services
     CallerLimits limits;
     std::uint64_t digest = 0; // of the later configuration
 };
@@ -32,9 +32,9 @@
 };
 
 RoutingChange changeBetween(const RoutingConfig &earlier, const RoutingConfig &later);
-// Refuses a change whose result is not the configuration that it was made from.
+// Rejects a change if the result is not the configuration from which the change was computed.
 tl::expected<RoutingConfig, RoutingChangeError> applyChange(const RoutingConfig &earlier, const RoutingChange &change);
-// The same for two configurations that forward alike, whatever the order of their routes.
+// Equal for two configurations with the same forwarding, regardless of the order of their routes.
 std::uint64_t digestOf(const RoutingConfig &config);
 
 } // namespace fescuesill
--- a/decide/routingconfig.h
+++ b/decide/routingconfig.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One version of what the operator wants forwarded where, as a gateway uses it.
+// One version of the routing configuration, as a gateway uses it.
 //
 //     if (read->version > inForce->version) { inForce = read; }
 //     const Route *route = inForce->routes.find(host, path);
@@ -14,22 +14,22 @@
 namespace fescuesill
 {
 
-// What the engines of a generating service can do.
+// Capabilities of the engines of a generating service.
 struct EngineTraits {
-    Tokens memory; // of one engine
-    int slots = 1; // requests that one engine runs at once
+    Tokens memory; // per engine
+    int slots = 1; // maximum concurrent requests per engine
     Duration resultLife{0}; // how long a prefill result is kept until it is fetched
     Duration longestReservation{0};
-    Duration stageChange{0}; // from an order until an engine is back in its other stage, after its running work
-    Tokens perEvent{1}; // of the output in one event of a stream
+    Duration stageChange{0}; // from an order until the engine, its work ended, is ready in its other stage
+    Tokens perEvent{1}; // output tokens per event of a stream
 };
 
 struct ForwardedService {
     ServiceId id;
-    std::optional<EngineTraits> engines; // of a generating service
+    std::optional<EngineTraits> engines; // only for a generating service
 };
 
-// What a caller may send, and how long it may take.
+// Limits on the size and duration of what a caller sends.
 struct CallerLimits {
     Bytes header{16 << 10};
     Bytes body{4 << 20};
@@ -43,7 +43,7 @@
     std::map<ServiceId, ForwardedService> services;
     CallerLimits limits;
 
-    // Null for a service that is not declared.
+    // Returns null for an undeclared service.
     const ForwardedService *service(const ServiceId &id) const
     {
         const auto found = this->services.find(id);
--- a/decide/testing/endpointpicker_test.cpp
+++ b/decide/testing/endpointpicker_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr Instant start{Duration(1'000'000)};
 
-// One endpoint of a world in virtual time: how long it takes and which share of its calls it fails.
+// A simulated endpoint in virtual time: its response time and the share of its calls that fail.
 struct Behaviour {
     Duration takes{15ms};
     double fails = 0;
@@ -23,20 +23,20 @@
     std::map<std::string, int> sent;
 };
 
-// Calls one after the other, ten milliseconds apart, as one host of several sends them.
-Outcome play(EndpointPicker &picker, const std::map<std::string, Behaviour> &world, int calls, Instant &now)
+// Sends calls sequentially, ten milliseconds apart, as one of several hosts does.
+Outcome simulate(EndpointPicker &picker, const std::map<std::string, Behaviour> &endpoints, int calls, Instant &now)
 {
     std::mt19937_64 random(11);
     std::uniform_real_distribution<double> uniform(0, 1);
     std::vector<EndpointCandidate> candidates;
-    candidates.reserve(world.size());
-    for (const auto &[name, behaviour] : world) {
+    candidates.reserve(endpoints.size());
+    for (const auto &[name, behaviour] : endpoints) {
         candidates.push_back({EndpointId(name), 6, name == "near"});
     }
     Outcome outcome;
     for (int call = 0; call < calls; ++call) {
         const EndpointId chosen = *picker.pick(candidates, now);
-        const Behaviour &behaviour = world.at(chosen.value());
+        const Behaviour &behaviour = endpoints.at(chosen.value());
         ++outcome.sent[chosen.value()];
         picker.onSent(chosen);
         const bool fails = uniform(random) < behaviour.fails;
@@ -49,40 +49,41 @@
     return outcome;
 }
 
-TEST(EndpointPicker, PrefersTheOwnDataCentreWhileItIsWell)
+TEST(EndpointPicker, PrefersTheOwnDataCentreWhileItIsHealthy)
 {
     EndpointPicker picker({}, 1);
     Instant now = start;
-    const Outcome outcome = play(picker, {{"near", {15ms}}, {"far1", {24ms}}, {"far2", {24ms}}}, 500, now);
+    const Outcome outcome = simulate(picker, {{"near", {15ms}}, {"far1", {24ms}}, {"far2", {24ms}}}, 500, now);
     EXPECT_GT(outcome.sent.at("near"), 450);
 }
 
-// An endpoint fails nearly half of its calls while its health check stays good. Callers would see a sixth of all calls
-// fail for as long as it lasts; what is lost must be the few calls that it takes to see it.
-TEST(EndpointPicker, LeavesAnEndpointThatFailsAShareOfItsCalls)
+// An endpoint fails nearly half of its calls while its health check passes. Without detection a sixth of all calls
+// would fail; only the few calls needed for the detection may be lost.
+TEST(EndpointPicker, AvoidsAnEndpointThatFailsAShareOfItsCalls)
 {
     EndpointPicker picker({}, 1);
     Instant now = start;
-    play(picker, {{"near", {15ms}}, {"far1", {24ms}}, {"far2", {24ms}}}, 200, now);
-    const Outcome outcome = play(picker, {{"near", {15ms, 0.45}}, {"far1", {24ms}}, {"far2", {24ms}}}, 500, now);
+    simulate(picker, {{"near", {15ms}}, {"far1", {24ms}}, {"far2", {24ms}}}, 200, now);
+    const Outcome outcome = simulate(picker, {{"near", {15ms, 0.45}}, {"far1", {24ms}}, {"far2", {24ms}}}, 500, now);
     EXPECT_LT(outcome.failed, 12);
 }
 
-// One endpoint turns slow: its answers miss the target. It is left after a few, and used again once it is well.
-TEST(EndpointPicker, LeavesASlowEndpointAndComesBack)
+// One endpoint becomes so slow that its responses miss the target. It is avoided after a few calls and used again once
+// it has recovered.
+TEST(EndpointPicker, AvoidsASlowEndpointUntilItRecovers)
 {
     EndpointPicker picker({}, 1);
     Instant now = start;
-    play(picker, {{"near", {15ms}}, {"far1", {24ms}}, {"far2", {24ms}}}, 200, now);
-    const Outcome slow = play(picker, {{"near", {300ms}}, {"far1", {24ms}}, {"far2", {24ms}}}, 500, now);
+    simulate(picker, {{"near", {15ms}}, {"far1", {24ms}}, {"far2", {24ms}}}, 200, now);
+    const Outcome slow = simulate(picker, {{"near", {300ms}}, {"far1", {24ms}}, {"far2", {24ms}}}, 500, now);
     EXPECT_LT(slow.late, 10);
-    play(picker, {{"near", {15ms}}, {"far1", {24ms}}, {"far2", {24ms}}}, 2000, now);
-    const Outcome well = play(picker, {{"near", {15ms}}, {"far1", {24ms}}, {"far2", {24ms}}}, 500, now);
+    simulate(picker, {{"near", {15ms}}, {"far1", {24ms}}, {"far2", {24ms}}}, 2000, now);
+    const Outcome well = simulate(picker, {{"near", {15ms}}, {"far1", {24ms}}, {"far2", {24ms}}}, 500, now);
     EXPECT_GT(well.sent.at("near"), 400);
 }
 
-// A burst reaches one host: the calls spill to other data centres instead of queueing at the near endpoint.
-TEST(EndpointPicker, SpillsABurst)
+// A burst reaches one host: calls overflow to other data centres instead of queueing at the near endpoint.
+TEST(EndpointPicker, OverflowsABurstToOtherDataCentres)
 {
     EndpointPicker picker({}, 1);
     const std::map<std::string, Duration> times = {{"near", 15ms}, {"far1", 24ms}, {"far2", 24ms}};
@@ -102,7 +103,7 @@
     EXPECT_GT(sent.at("far2"), 3);
 }
 
-TEST(EndpointPicker, HasNothingToPickFromNothing)
+TEST(EndpointPicker, PicksNothingWithoutCandidates)
 {
     EndpointPicker picker({}, 1);
     EXPECT_FALSE(picker.pick({}, start));
--- a/decide/testing/generationgate_test.cpp
+++ b/decide/testing/generationgate_test.cpp
@@ -11,9 +11,9 @@
 
 constexpr Instant start{Duration(1'000'000)};
 
-std::vector<DecodePlaces> engines(int count)
+std::vector<DecodeEngine> engines(int count)
 {
-    std::vector<DecodePlaces> made;
+    std::vector<DecodeEngine> made;
     made.reserve(static_cast<std::size_t>(count));
     for (int number = 0; number < count; ++number) {
         made.push_back({EngineId("d" + std::to_string(number)), 1, Tokens(76000), 16, DataCentreId("a")});
@@ -21,13 +21,13 @@
     return made;
 }
 
-GenerationAsk ask(const std::string &id, Instant now, Duration onTime = 700ms, Duration useful = 3s)
+GenerationRequest makeRequest(const std::string &id, Instant now, Duration onTime = 700ms, Duration useful = 3s)
 {
-    GenerationAsk made;
+    GenerationRequest made;
     made.id = RequestId(id);
     made.prompt = Tokens(5200);
     made.output = Tokens(3500);
-    made.mostOutput = Tokens(6500);
+    made.maxOutput = Tokens(6500);
     made.arrival = now;
     made.onTimeUntil = now + onTime;
     made.usefulUntil = now + useful;
@@ -39,27 +39,27 @@
     int onTime = 0;
     int late = 0;
     int rejected = 0;
-    Duration longestWaitOfRejected{0};
-    Duration waitOfRejected{0}; // together
+    Duration maxWaitOfRejected{0};
+    Duration waitOfRejected{0}; // sum
     double meanWaitOfRejected() const // seconds
     {
         return std::chrono::duration<double>(this->waitOfRejected).count() / std::max(1, this->rejected);
     }
-    std::int64_t worstMemory = 0; // of any engine
+    std::int64_t peakMemory = 0; // of any engine
 };
 
-// A pool in virtual time that takes whatever it is asked for; each generation runs at one millisecond a token.
-class PoolWorld
+// A simulated pool in virtual time that accepts every reservation; each generation runs at one millisecond per token.
+class SimulatedPool
 {
 public:
-    explicit PoolWorld(int count)
+    explicit SimulatedPool(int count)
         : gate({}, 3)
     {
         this->gate.setEngines(engines(count), start);
     }
 
-    // Offers `perSecond` generations from `begin` to `end` and runs on until all have ended.
-    Served play(double (*perSecond)(double second), Duration length)
+    // Submits `perSecond` generations per second for `length` and continues until all have ended.
+    Served run(double (*perSecond)(double second), Duration length)
     {
         Served served;
         double due = 0;
@@ -69,11 +69,11 @@
             due += at < length ? perSecond(std::chrono::duration<double>(at).count()) * 0.005 : 0;
             while (due >= 1) {
                 due -= 1;
-                this->gate.submit(ask("r" + std::to_string(this->next++), now), now);
+                this->gate.submit(makeRequest("r" + std::to_string(this->next++), now), now);
                 this->arrivals["r" + std::to_string(this->next - 1)] = now;
             }
             this->act(now, served);
-            served.worstMemory = std::max(served.worstMemory, this->fullest(now));
+            served.peakMemory = std::max(served.peakMemory, this->fullest(now));
         }
         return served;
     }
@@ -108,7 +108,7 @@
                 ++served.rejected;
                 const Duration waited = now - this->arrivals.at(id.value());
                 served.waitOfRejected += waited;
-                served.longestWaitOfRejected = std::max(served.longestWaitOfRejected, waited);
+                served.maxWaitOfRejected = std::max(served.maxWaitOfRejected, waited);
                 EXPECT_GT(std::get<RejectGeneration>(action).retryAfter, 0ms);
             }
         }
@@ -119,11 +119,11 @@
         for (const auto &[id, run] : this->runs) {
             held[run.engine] += 5200 + (now - run.begun) / 1ms;
         }
-        std::int64_t most = 0;
+        std::int64_t highest = 0;
         for (const auto &[engine, tokens] : held) {
-            most = std::max(most, tokens);
+            highest = std::max(highest, tokens);
         }
-        return most;
+        return highest;
     }
 
     GenerationGate gate;
@@ -132,48 +132,48 @@
     std::map<std::string, Run> runs;
 };
 
-// Six engines carry some 15 generations a second.
-TEST(GenerationGate, ServesAllInTimeBelowCapacity)
+// Six engines sustain some 15 generations a second.
+TEST(GenerationGate, ServesAllOnTimeBelowCapacity)
 {
-    const Served served = PoolWorld(6).play([](double) { return 12.0; }, 20s);
+    const Served served = SimulatedPool(6).run([](double) { return 12.0; }, 20s);
     EXPECT_EQ(served.onTime, 240);
     EXPECT_EQ(served.rejected, 0);
 }
 
-// Twice the capacity for five seconds, then little. Memory must never run out; in the burst the engines work for those
-// that can be on time, and most of the others are served in the calm after it instead of being sent away.
+// Twice the capacity for five seconds, then a light load. Memory must never run out; during the burst the engines serve
+// requests that can be on time, and most of the others are served after it instead of being refused.
 TEST(GenerationGate, KeepsEnginesFromRunningOutInABurst)
 {
-    const Served served = PoolWorld(6).play([](double second) { return second < 5 ? 30.0 : 4.0; }, 15s);
-    EXPECT_LE(served.worstMemory, 76000);
+    const Served served = SimulatedPool(6).run([](double second) { return second < 5 ? 30.0 : 4.0; }, 15s);
+    EXPECT_LE(served.peakMemory, 76000);
     EXPECT_GE(served.onTime, 95);
-    EXPECT_GE(served.onTime + served.late, 143); // three in four of the 190, without coming back
+    EXPECT_GE(served.onTime + served.late, 143); // three in four of the 190, without a retry by the caller
 }
 
-// Saturation without an end: what is rejected is told so soon, and the pool keeps working for callers in time.
+// Permanent saturation: refused requests are refused soon, and the pool keeps serving requests on time.
 TEST(GenerationGate, RejectsSoonUnderSaturation)
 {
-    const Served served = PoolWorld(6).play([](double) { return 30.0; }, 30s);
-    EXPECT_LE(served.worstMemory, 76000);
+    const Served served = SimulatedPool(6).run([](double) { return 30.0; }, 30s);
+    EXPECT_LE(served.peakMemory, 76000);
     EXPECT_GT(served.onTime, 350);
-    EXPECT_LE(served.longestWaitOfRejected, 3s + 5ms); // one step of this world
-    EXPECT_LT(served.meanWaitOfRejected(), 0.7); // before the moment at which they would be late
+    EXPECT_LE(served.maxWaitOfRejected, 3s + 5ms); // plus one step of the simulation
+    EXPECT_LT(served.meanWaitOfRejected(), 0.7); // before the time at which they would be late
 }
 
-// An engine answers that it is full, though the forecast had room: somebody else fills it too. The request is tried at
-// another engine at once, and the full one is left alone for a while.
+// An engine replies that it is full although the forecast had room, because other gates use it too. The request is
+// tried at another engine at once, and the full one is not tried again for a while.
 TEST(GenerationGate, TriesElsewhereAfterAFullEngine)
 {
     GenerationGate gate({}, 3);
     gate.setEngines(engines(2), start);
-    gate.submit(ask("r", start), start);
+    gate.submit(makeRequest("r", start), start);
     std::set<std::string> tried;
     for (int round = 0; round < 2; ++round) {
         const auto actions = gate.poll(start);
         ASSERT_EQ(actions.size(), 1U);
         tried.insert(std::get<TryReserve>(actions[0]).engine.value());
         gate.onFull(RequestId("r"), start);
-        gate.submit(ask("r", start), start);
+        gate.submit(makeRequest("r", start), start);
     }
     EXPECT_EQ(tried.size(), 2U);
     EXPECT_TRUE(gate.poll(start).empty());
@@ -183,64 +183,66 @@
     EXPECT_EQ(gate.poll(again).size(), 1U);
 }
 
-// An engine starts anew under the same name: it holds nothing of before, so nothing of before counts against it.
+// An engine restarts under the same name. It holds none of the earlier generations, so they must not count against it.
 TEST(GenerationGate, ForgetsWhatAnEarlierStartHeld)
 {
     GenerationGate gate({}, 3);
     gate.setEngines(engines(1), start);
     for (int number = 0; number < 8; ++number) {
-        gate.submit(ask("r" + std::to_string(number), start), start);
+        gate.submit(makeRequest("r" + std::to_string(number), start), start);
     }
     EXPECT_EQ(gate.poll(start).size(), 8U);
-    gate.submit(ask("more", start), start);
+    gate.submit(makeRequest("more", start), start);
     EXPECT_TRUE(gate.poll(start).empty());
     auto restarted = engines(1);
     restarted[0].incarnation = 2;
     gate.setEngines(restarted, start);
     EXPECT_EQ(gate.poll(start).size(), 1U);
-    gate.onEnded(RequestId("r0"), false, Tokens(3500), start); // of the earlier start: frees nothing here
+    gate.onEnded(RequestId("r0"), false, Tokens(3500), start); // of the earlier incarnation: frees nothing here
 }
 
-// The caller goes while its request waits, or after it was placed: neither a place nor a wait is left behind.
-TEST(GenerationGate, KeepsNothingForACallerThatWent)
+// The caller disconnects while its request waits or after it was placed: neither a placement nor a queue entry may
+// remain.
+TEST(GenerationGate, KeepsNothingForADisconnectedCaller)
 {
     GenerationGate gate({}, 3);
     gate.setEngines(engines(1), start);
-    gate.submit(ask("r", start), start);
+    gate.submit(makeRequest("r", start), start);
     gate.poll(start);
     gate.onEnded(RequestId("r"), false, Tokens(0), start);
     EXPECT_EQ(gate.placed(), 0U);
     gate.setEngines({}, start);
-    gate.submit(ask("w", start), start);
+    gate.submit(makeRequest("w", start), start);
     EXPECT_TRUE(gate.poll(start).empty());
     gate.onEnded(RequestId("w"), false, Tokens(0), start);
     EXPECT_EQ(gate.waiting(), 0U);
     EXPECT_FALSE(gate.nextWake(start));
 }
 
-// Flood after a restart: decode engines have room for a hundred prompts, prefill engines read sixty a second.
-TEST(GenerationGate, StartsNoMoreReadsThanThePrefillEnginesKeepUpWith)
+// A flood of requests after a restart: decode engines have room for a hundred prompts, prefill engines process sixty a
+// second.
+TEST(GenerationGate, StartsNoMorePrefillsThanThePrefillEnginesSustain)
 {
     GenerationGate gate({}, 3);
     gate.setEngines(engines(20), start);
-    std::vector<PrefillPlace> pool;
+    std::vector<PrefillEngine> pool;
     pool.reserve(6);
     for (int number = 0; number < 6; ++number) {
         pool.push_back({EngineId("p" + std::to_string(number)), DataCentreId("a")});
     }
     gate.setPrefillEngines(pool);
     for (int number = 0; number < 100; ++number) {
-        gate.submit(ask("r" + std::to_string(number), start), start);
+        gate.submit(makeRequest("r" + std::to_string(number), start), start);
     }
     std::map<EngineId, Instant> freeAt;
-    std::multimap<Instant, RequestId> reads;
+    std::multimap<Instant, RequestId> prefills;
     Duration longest{0};
     int placed = 0;
     for (Duration at{0}; at < 700ms; at += 1ms) {
         const Instant now = start + at;
-        while (!reads.empty() && reads.begin()->first <= now) {
-            gate.onRead(reads.begin()->second, now);
-            reads.erase(reads.begin());
+        while (!prefills.empty() && prefills.begin()->first <= now) {
+            gate.onPrefilled(prefills.begin()->second, now);
+            prefills.erase(prefills.begin());
         }
         for (const GateAction &action : gate.poll(now)) {
             const auto *place = std::get_if<TryReserve>(&action);
@@ -248,19 +250,20 @@
             ++placed;
             Instant &free = freeAt[place->prefill];
             free = std::max(free, now) + Duration(5200 * 19);
-            reads.emplace(free, place->id);
+            prefills.emplace(free, place->id);
             longest = std::max(longest, free - now);
         }
         ASSERT_TRUE(gate.nextWake(now));
-        EXPECT_LE(*gate.nextWake(now), now + 130ms); // the longest read: nobody else wakes it
+        EXPECT_LE(*gate.nextWake(now), now + 130ms); // the longest prefill: no other event wakes the gate
     }
     EXPECT_EQ(freeAt.size(), 6U);
-    EXPECT_LE(longest, 300ms); // the queue of 150 ms and the read
-    EXPECT_GE(placed, 45); // and the prefill engines are kept busy
+    EXPECT_LE(longest, 300ms); // the queue of 150 ms and one prefill
+    EXPECT_GE(placed, 45); // the prefill engines are kept busy
 }
 
-// No leader: nine hosts place alone in a burst, and engines that look empty to each of them are not filled nine times.
-TEST(GenerationGate, KeepsToItsShareWhereOtherGatesFillTheSameEngines)
+// Without a leader nine hosts place independently in a burst: engines that look empty to each of them must not be
+// filled nine times.
+TEST(GenerationGate, KeepsToItsShareIfOtherGatesFillTheSameEngines)
 {
     std::int64_t placedTokens = 0;
     for (std::uint64_t host = 0; host < 9; ++host) {
@@ -268,11 +271,11 @@
         gate.setEngines(engines(11), start);
         gate.setShare(1.0 / 9);
         for (int number = 0; number < 50; ++number) {
-            gate.submit(ask("r" + std::to_string(number), start), start);
+            gate.submit(makeRequest("r" + std::to_string(number), start), start);
         }
         for (const GateAction &action : gate.poll(start)) {
             if (std::holds_alternative<TryReserve>(action)) {
-                placedTokens += ask("r", start).need().value();
+                placedTokens += makeRequest("r", start).need().value();
             }
         }
     }
@@ -281,20 +284,21 @@
     EXPECT_GE(placedTokens, memory / 2);
 }
 
-// The mix of requests sets the need of the pools: engine time of the prompts, and memory times the life of the answers.
+// The mix of requests determines the need of the pools: engine time of the prompts, and memory times the duration of
+// the answers.
 TEST(GenerationGate, MeasuresTheNeedOfBothPools)
 {
     GenerationGate gate({}, 3);
     gate.setEngines(engines(20), start);
     gate.setPrefillEngines({{EngineId("p0"), DataCentreId("a")}, {EngineId("p1"), DataCentreId("a")}});
-    EXPECT_FALSE(gate.stageLoad(start)); // nothing is known of the time of an answer yet
+    EXPECT_FALSE(gate.stageLoad(start)); // the duration of an answer is not known yet
     Instant now = start;
     for (int number = 0; number < 600; ++number, now += 100ms) { // ten a second, for a minute
         const RequestId id("r" + std::to_string(number));
-        gate.submit(ask(id.value(), now), now);
+        gate.submit(makeRequest(id.value(), now), now);
         gate.poll(now);
         gate.onReserved(id);
-        gate.onRead(id, now + 100ms);
+        gate.onPrefilled(id, now + 100ms);
         if (number >= 35) {
             gate.onEnded(RequestId("r" + std::to_string(number - 35)), false, Tokens(3500), now); // 1 ms a token
         }
@@ -309,11 +313,11 @@
 {
     GenerationGate gate({}, 3);
     gate.setEngines(engines(2), start);
-    GenerationAsk large = ask("large", start);
+    GenerationRequest large = makeRequest("large", start);
     large.prompt = Tokens(70000);
     gate.submit(large, start);
     EXPECT_EQ(gate.poll(start).size(), 1U);
-    GenerationAsk tooLarge = ask("too-large", start);
+    GenerationRequest tooLarge = makeRequest("too-large", start);
     tooLarge.prompt = Tokens(90000);
     gate.submit(tooLarge, start);
     EXPECT_TRUE(gate.poll(start).empty());
--- a/decide/testing/memoryforecast_test.cpp
+++ b/decide/testing/memoryforecast_test.cpp
@@ -23,16 +23,16 @@
     EXPECT_EQ(peakMemory({}, 1ms, start).value(), 0);
 }
 
-// The burst: eight generations begin together, each small now. An engine that looks only at what they take now (40,000
-// of 60,000) would take one more, and run out two seconds later.
-TEST(MemoryForecast, SeesTheGrowthOfABurst)
+// Eight generations of a burst start together, each small at first. An engine that counts only their current memory
+// (40,000 of 60,000) would accept one more and run out two seconds later.
+TEST(MemoryForecast, IncludesTheGrowthOfABurst)
 {
     const std::vector<GrowingRun> burst(8, run(5000, 3000, start));
     EXPECT_NEAR(peakMemory(burst, 1ms, start).value(), 64000, 100);
 }
 
-// Staggered, the same eight never hold that much together: each is gone before the next is full grown.
-TEST(MemoryForecast, CountsWhatEndsMeanwhile)
+// If staggered, the same eight never hold that much together: each ends before the next reaches its full size.
+TEST(MemoryForecast, CountsRunsThatEndInTheMeantime)
 {
     std::vector<GrowingRun> staggered;
     staggered.reserve(8);
@@ -42,8 +42,8 @@
     EXPECT_LT(peakMemory(staggered, 1ms, start).value(), 56000);
 }
 
-// The oracle steps through time one token at a time.
-RC_GTEST_PROP(MemoryForecast, AgreesWithStepping, ())
+// The oracle advances time one token at a time.
+RC_GTEST_PROP(MemoryForecast, AgreesWithStepwiseSimulation, ())
 {
     const auto count = *rc::gen::inRange(1, 9);
     std::vector<GrowingRun> runs;
@@ -61,7 +61,7 @@
         }
         peak = std::max(peak, held);
     }
-    // Beliefs keep a least spread of 5%, by which the two may differ.
+    // Estimates have a minimum spread of 5%, by which the two may differ.
     const auto forecast = peakMemory(runs, 1ms, start).value();
     RC_ASSERT(std::abs(forecast - peak) <= peak / 10 + 10);
 }
@@ -72,12 +72,12 @@
     EXPECT_NEAR(output.left(Tokens(0)).value(), 1133, 40); // the mean of a lognormal lies above its median
     EXPECT_GT(output.left(Tokens(1500)).value(), 300);
     EXPECT_GT(output.left(Tokens(5000)).value(), 500);
-    EXPECT_EQ(output.left(Tokens(10000)).value(), 0); // never past the caller's bound
+    EXPECT_EQ(output.left(Tokens(10000)).value(), 0); // never beyond the caller's limit
     EXPECT_EQ((ExpectedOutput{Tokens(10), 0.1, Tokens(10)}).left(Tokens(20)).value(), 0);
 }
 
-// Lengths and errors of the estimates both spread by half: the best line has a slope of a half and leaves a spread of
-// 0.35.
+// Lengths and errors of the estimates both have a spread of one half: the best regression line has a slope of one half
+// and leaves a spread of 0.35.
 TEST(OutputEstimate, LearnsHowFarToTrustEstimates)
 {
     std::mt19937_64 random(7);
--- a/decide/testing/outcomes_test.cpp
+++ b/decide/testing/outcomes_test.cpp
@@ -1,5 +1,5 @@
-// What callers get under load. The limits are the promises of issue 5 with room for a short run;
-// docs/design/decisions.md has the figures of the long ones.
+// Outcomes for callers under load. The limits are the targets of issue 5 with a margin for a short run;
+// docs/design/decisions.md has the figures of the long runs.
 
 #include "testing/bench/decisionbench.h"
 #include "testing/bench/simulation.h"
@@ -26,23 +26,23 @@
     return static_cast<double>(group.good) / std::max(1, group.offered);
 }
 
-static double leastShare(const Result &result, const std::string &kind)
+static double minShare(const Result &result, const std::string &kind)
 {
-    double least = 1;
+    double lowest = 1;
     for (const auto &[name, group] : result.groups) {
-        least = name.find(kind) == std::string::npos ? least : std::min(least, share(group));
+        lowest = name.find(kind) == std::string::npos ? lowest : std::min(lowest, share(group));
     }
-    return least;
+    return lowest;
 }
 
 struct Case {
     const char *scenario;
-    double leastGood; // share of the offered requests
-    double leastUrgent;
-    double mostWasted;
+    double minGood; // share of the offered requests
+    double minUrgent;
+    double maxWasted;
 };
 
-// Bursts, one hot preamble, long and short together, old reports, narrow links, a lost data centre.
+// Bursts, one hot prompt prefix, long and short prompts together, outdated reports, narrow links, a lost data centre.
 TEST(Outcomes, CallersGetTheirTargetsInEachScenario)
 {
     const std::vector<Case> cases{{"bursts", 0.95, 0.999, 0.01},       {"skew", 0.9, 0.999, 0.01},
@@ -51,37 +51,38 @@
                                   {"slow-endpoint", 0.95, 0.97, 0.02}, {"engine-death", 0.95, 0.999, 0.02}};
     for (const Case &one : cases) {
         const Result result = run(one.scenario);
-        EXPECT_GE(share(result.all), one.leastGood) << one.scenario;
-        EXPECT_GE(leastShare(result, "urgent"), one.leastUrgent) << one.scenario;
-        EXPECT_LE(result.wastedShare(), one.mostWasted) << one.scenario;
+        EXPECT_GE(share(result.all), one.minGood) << one.scenario;
+        EXPECT_GE(minShare(result, "urgent"), one.minUrgent) << one.scenario;
+        EXPECT_LE(result.wastedShare(), one.maxWasted) << one.scenario;
         EXPECT_LE(result.prefillSkew, 2) << one.scenario;
     }
 }
 
-// Story: links at nine tenths of their rate, with bursts, deaths and a slow engine on top. Urgent results waited for a
-// third transfer on their link to end, behind patient requests that waited for room at the head of the queue, and were
-// refused for the delay of others. Their callers should notice nothing; a slow engine ruins what already decodes there.
-TEST(Outcomes, UrgentCallersNoticeNoNarrowLinksAndNoBursts)
+// Links at nine tenths of their rate, with bursts, engine deaths and a slow engine. Guards against urgent results that
+// wait for a third transfer on their link behind patient requests that wait for room at the head of the queue, and are
+// refused for the delay of others. Urgent callers should not be affected, except by a slow engine, which delays what it
+// already decodes.
+TEST(Outcomes, NarrowLinksAndBurstsDoNotAffectUrgentCallers)
 {
     const Result narrow = run("links-narrow", PolicyKind::Ours, 0, false, 300s);
-    EXPECT_GE(leastShare(narrow, "urgent"), 0.999);
+    EXPECT_GE(minShare(narrow, "urgent"), 0.999);
     EXPECT_GE(share(narrow.all), 0.92);
     const Result mixed = run("mixed", PolicyKind::Ours, 0, false, 300s);
-    EXPECT_GE(leastShare(mixed, "urgent"), 0.996);
+    EXPECT_GE(minShare(mixed, "urgent"), 0.996);
     EXPECT_GE(share(mixed.all), 0.91);
 }
 
-// Twice what the cell can do: urgent requests are all served, patient ones are not starved, little is read in vain, and
-// the callers that come back do not lower what is done.
+// Twice the capacity of the cell: urgent requests are all served, patient ones are not starved, few prefills are
+// wasted, and callers that retry do not reduce the throughput.
 TEST(Outcomes, SaturationServesUrgentWorkAndStarvesNone)
 {
     const Result full = run("saturation", PolicyKind::Ours, 1.3);
-    // The comparison takes 240 s: in the first minute the baseline still lives on its empty engines.
+    // The comparison runs for 240 s, because in the first minute the baseline still profits from its empty engines.
     const Result longer = run("saturation", PolicyKind::Ours, 1.3, false, 240s);
     const Result twice = run("saturation", PolicyKind::Ours, 2);
     const Result unreserved = run("saturation", PolicyKind::PrefillFirst, 1.3, false, 240s);
-    EXPECT_GE(leastShare(twice, "urgent"), 0.99);
-    EXPECT_GE(leastShare(twice, "patient"), 0.05);
+    EXPECT_GE(minShare(twice, "urgent"), 0.99);
+    EXPECT_GE(minShare(twice, "patient"), 0.05);
     EXPECT_GE(twice.good, full.good);
     EXPECT_GE(longer.good, unreserved.good * 3 / 2);
     EXPECT_LE(longer.wastedShare(), 0.01);
@@ -90,9 +91,9 @@
     EXPECT_LE(full.good, full.bound);
 }
 
-// Story: a decode engine dies with some twenty answers on it and comes back later; a prefill engine follows. Or engines
-// become slow, or a decode engine writes nothing for 30 s with its connections open. Callers should notice no more than
-// if the engines had left in a planned way.
+// A decode engine dies with some twenty answers on it and restarts later, and a prefill engine follows. Or engines
+// become slow, or a decode engine sends nothing for 30 s with its connections open. The cost to callers should be
+// little more than that of engines that left as planned.
 TEST(Outcomes, ADeadSlowOrStalledEngineCostsLittleMoreThanAMissingOne)
 {
     for (const char *scenario : {"engine-death", "slow-endpoint", "decode-stall"}) {
@@ -102,12 +103,13 @@
     }
 }
 
-// Story: two of five callers hang up at the same moment, others all the time. Nobody who stays should notice.
-TEST(Outcomes, ACancelStormHurtsNobodyWhoStays)
+// Two of five callers disconnect at the same moment, and others at random times. The remaining callers should not be
+// affected.
+TEST(Outcomes, ACancelStormDoesNotAffectRemainingCallers)
 {
     const Result result = run("cancel-storm");
     EXPECT_GE(share(result.all), 0.95);
-    EXPECT_GE(leastShare(result, "urgent"), 0.97);
+    EXPECT_GE(minShare(result, "urgent"), 0.97);
 }
 
 TEST(Outcomes, SameSeedSameOutcome)
@@ -118,7 +120,7 @@
     EXPECT_EQ(first.waste.read, second.waste.read);
 }
 
-// Each placing looks at every prefill engine once, every decode engine at most a few times, and a few prefixes.
+// Each placement examines every prefill engine once, every decode engine at most a few times, and a few prefixes.
 TEST(Outcomes, StepsOfADecisionGrowNoFasterThanTheEngines)
 {
     for (const DecisionCost &cost : measureDecisions({13, 50, 200}, 500, 1)) {
--- a/decide/testing/poolplan_test.cpp
+++ b/decide/testing/poolplan_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr Instant start{Duration(1'000'000)};
 
-// Observes the same view several times a second.
+// Observes the same sizes and need several times a second.
 std::optional<PoolMove> observeFor(PoolPlan &plan, const PoolSizes &sizes, const PoolNeed &need, Instant &now,
                                    Duration span)
 {
@@ -29,9 +29,9 @@
         int prefill; // of the best split
     };
     const Case cases[] = {
-        {{5, 7}, {1.2, 4.3}, 4}, // a third would carry it, and not the loss of one
+        {{5, 7}, {1.2, 4.3}, 4}, // three would suffice, but not with the loss of one
         {{21, 39}, {5.0, 17.1}, 15},
-        {{2, 2}, {0.1, 1.9}, 2}, // the least of a pool
+        {{2, 2}, {0.1, 1.9}, 2}, // the minimum of a pool
         {{3, 9}, {2.5, 2.5}, 6},
     };
     for (const Case &each : cases) {
@@ -57,7 +57,7 @@
     }
 }
 
-// Long answers: decode memory runs short while prefill engines are idle. All that are to spare move at once.
+// Long answers: decode memory runs short while prefill engines are idle. All spare ones move at once.
 TEST(PoolPlan, MovesIdlePrefillEnginesBeforeABurst)
 {
     PoolPlan plan(PoolPlan::Options{});
@@ -72,21 +72,22 @@
     EXPECT_FALSE(observeFor(plan, moved, {8.0, 48.0}, now, 10s)); // a burst of the same mix changes nothing
 }
 
-TEST(PoolPlan, LeavesALightLoadAlone)
+TEST(PoolPlan, MovesNothingUnderALightLoad)
 {
     PoolPlan plan(PoolPlan::Options{});
     Instant now = start;
     EXPECT_FALSE(observeFor(plan, {21, 39}, {1.0, 8.0}, now, 60s));
 }
 
-// A decode engine that moves breaks no answer but is missed for seconds: not for a crash that lasts five seconds.
-TEST(PoolPlan, GivesBackOneAtATimeAndOnlyWhatIsMissedForLong)
+// A move of a decode engine interrupts no answer, but the engine is unavailable for seconds, so a crash that lasts five
+// seconds must not cause one.
+TEST(PoolPlan, MovesOneToPrefillAtATimeAndOnlyAfterALongShortage)
 {
     PoolPlan plan(PoolPlan::Options{});
     Instant now = start;
     const PoolNeed longPrompts{9.0, 10.0};
     EXPECT_FALSE(observeFor(plan, {4, 14}, longPrompts, now, 5s));
-    EXPECT_FALSE(observeFor(plan, {9, 9}, longPrompts, now, 5s)); // the engines came back
+    EXPECT_FALSE(observeFor(plan, {9, 9}, longPrompts, now, 5s)); // the engines recovered
     const auto move = observeFor(plan, {4, 14}, longPrompts, now, 12s);
     ASSERT_TRUE(move);
     EXPECT_EQ(move->pool, Pool::Prefill);
@@ -95,8 +96,8 @@
     EXPECT_TRUE(observeFor(plan, {5, 13}, longPrompts, now, 5s));
 }
 
-// Prefill engines without work to spare stay where they are, however short of memory decode is.
-TEST(PoolPlan, NeverGoesBelowTheLeastOfAPool)
+// Prefill at the minimum of its pool keeps its engines, however short of memory decode is.
+TEST(PoolPlan, NeverGoesBelowTheMinimumOfAPool)
 {
     PoolPlan plan(PoolPlan::Options{});
     Instant now = start;
--- a/decide/testing/prefillchoice_test.cpp
+++ b/decide/testing/prefillchoice_test.cpp
@@ -26,24 +26,24 @@
     return {"part" + std::to_string(number), Tokens(5200)};
 }
 
-// A host dies while it relays answers, and their callers go on at another host. The second host asks the engine that
-// read each prompt for the first, which still has it in memory; that host knows nothing of the other.
+// A host dies while it relays answers, and their callers resume at another host. Without any shared state the second
+// host must choose the engine that prefilled each prompt for the first, because it still has the prompt in its cache.
 TEST(PrefillChoice, SendsAPromptToTheSameEngineFromEveryHost)
 {
     PrefillChoice first(1);
     PrefillChoice second(2);
-    std::map<EngineId, int> reads;
+    std::map<EngineId, int> prefills;
     for (int number = 0; number < 600; ++number) {
         const auto engine = first.pick(engines(6), prompt(number), start);
         EXPECT_EQ(second.pick(engines(6), prompt(number), start), engine);
-        ++reads[*engine];
+        ++prefills[*engine];
     }
-    for (const auto &[engine, count] : reads) {
+    for (const auto &[engine, count] : prefills) {
         EXPECT_NEAR(count, 100, 40) << engine.value(); // four standard deviations
     }
 }
 
-TEST(PrefillChoice, MovesOnlyThePromptsOfAnEngineThatWent)
+TEST(PrefillChoice, MovesOnlyThePromptsOfARemovedEngine)
 {
     PrefillChoice choice(1);
     int moved = 0;
@@ -55,8 +55,8 @@
     EXPECT_EQ(moved, 0);
 }
 
-// Going home saves the time of one read, so a prompt waits there for no more than that.
-TEST(PrefillChoice, LeavesAHomeThatIsBehindByMoreThanTheRead)
+// The home saves at most the time of one prefill, so a prompt waits there for no longer than that.
+TEST(PrefillChoice, AvoidsAHomeThatIsBehindByMoreThanThePrefill)
 {
     PrefillChoice choice(1);
     const auto home = choice.pick(engines(2), prompt(0), start);
@@ -68,28 +68,28 @@
     EXPECT_EQ(choice.pick(engines(2), prompt(0), start), home);
 }
 
-TEST(PrefillChoice, LeavesAnEngineThatFails)
+TEST(PrefillChoice, AvoidsAnEngineThatFails)
 {
     PrefillChoice choice(1);
     const auto home = choice.pick(engines(3), prompt(0), start);
     choice.onSent(*home, Tokens(5200));
     choice.onEnded(*home, Tokens(5200), true, start);
-    EXPECT_FALSE(choice.isSound(*home, start));
+    EXPECT_FALSE(choice.isHealthy(*home, start));
     EXPECT_NE(choice.pick(engines(3), prompt(0), start), home);
     EXPECT_EQ(choice.pick(engines(3), prompt(0), start + 30s), home);
 }
 
-// Callers that name no part of their own are spread by load alone.
+// Prompts without a name of their own part are distributed by load alone.
 TEST(PrefillChoice, SpreadsPromptsWithoutAName)
 {
     PrefillChoice choice(1);
-    std::set<EngineId> asked;
+    std::set<EngineId> chosen;
     for (int number = 0; number < 6; ++number) {
         const auto engine = choice.pick(engines(6), {{}, Tokens(5200)}, start);
         choice.onSent(*engine, Tokens(5200));
-        asked.insert(*engine);
+        chosen.insert(*engine);
     }
-    EXPECT_EQ(asked.size(), 6U);
+    EXPECT_EQ(chosen.size(), 6U);
     EXPECT_FALSE(choice.pick({}, prompt(0), start));
 }
 
--- a/decide/testing/routetable_test.cpp
+++ b/decide/testing/routetable_test.cpp
@@ -47,7 +47,7 @@
     }
 }
 
-TEST(RouteTable, RefusesWhatCannotBeRouted)
+TEST(RouteTable, RejectsInvalidRoutes)
 {
     Route noService = route("r", "a", "/");
     noService.services.clear();
@@ -61,7 +61,7 @@
     EXPECT_FALSE(RouteTable::create({route("r", "a", "/"), route("q", "a", "/")}));
 }
 
-// The oracle looks at every route.
+// The oracle checks every route.
 RC_GTEST_PROP(RouteTable, AgreesWithASearchOfAllRoutes, ())
 {
     const std::vector<std::string> parts = {"", "a/", "b/", "a/b/", "a/a/"};
@@ -89,7 +89,7 @@
     const RouteTable table = RouteTable::create(routes).value();
     const Route *found = table.find("h", path);
     RC_ASSERT((found == nullptr) == (expected == nullptr));
-    if (found != nullptr) { // the assertion evaluates both sides of an or
+    if (found != nullptr) { // RC_ASSERT evaluates both sides of an or
         RC_ASSERT(found->prefix == expected->prefix);
     }
 }
--- a/decide/testing/routingchange_test.cpp
+++ b/decide/testing/routingchange_test.cpp
@@ -9,13 +9,13 @@
 namespace
 {
 
-Route routeAt(int place, int service)
+Route routeAt(int number, int service)
 {
-    const std::string number = std::to_string(place);
+    const std::string text = std::to_string(number);
     Route route;
-    route.name.append("r").append(number);
+    route.name.append("r").append(text);
     route.host = "shop.example";
-    route.prefix.append("/p").append(number).append("/");
+    route.prefix.append("/p").append(text).append("/");
     route.timeout = 2s;
     route.services = {{ServiceId(std::string("s").append(std::to_string(service))), 1}};
     return route;
@@ -30,10 +30,10 @@
 RoutingConfig anyConfig(std::int64_t version)
 {
     std::vector<Route> routes;
-    for (int place = 0; place < 12; ++place) {
+    for (int number = 0; number < 12; ++number) {
         const int service = *rc::gen::inRange(0, 4);
         if (service > 0) {
-            routes.push_back(routeAt(place, service));
+            routes.push_back(routeAt(number, service));
         }
     }
     RoutingConfig config;
@@ -61,8 +61,8 @@
     }
 }
 
-// Guards against a change that is applied to a configuration it was not made from.
-RC_GTEST_PROP(RoutingChange, IsRefusedOrHarmlessOnAnotherBase, ())
+// Guards against applying a change to a configuration other than the one from which it was computed.
+RC_GTEST_PROP(RoutingChange, IsRejectedOrCorrectOnAnotherBase, ())
 {
     const RoutingConfig later = anyConfig(5);
     const RoutingChange change = changeBetween(anyConfig(3), later);
@@ -76,8 +76,8 @@
 {
     std::vector<Route> routes;
     routes.reserve(5000);
-    for (int place = 0; place < 5000; ++place) {
-        routes.push_back(routeAt(place, 1));
+    for (int number = 0; number < 5000; ++number) {
+        routes.push_back(routeAt(number, 1));
     }
     RoutingConfig earlier;
     earlier.routes = tableOf(routes);
@@ -92,7 +92,7 @@
     EXPECT_EQ(change.removed[0].prefix, "/p4999/");
 }
 
-TEST(RoutingChange, DigestSeesEveryField)
+TEST(RoutingChange, DigestCoversEveryField)
 {
     using Alter = void (*)(Route &, ForwardedService &, CallerLimits &);
     const auto digestWith = [](Alter alter) {
--- a/programs/gateway/fleetview.cpp
+++ b/programs/gateway/fleetview.cpp
@@ -84,9 +84,9 @@
     return candidates;
 }
 
-std::vector<PrefillPlace> FleetView::prefillPlaces(const ServiceId &service) const
+std::vector<PrefillEngine> FleetView::prefillPlaces(const ServiceId &service) const
 {
-    std::vector<PrefillPlace> places;
+    std::vector<PrefillEngine> places;
     for (const EndpointRecord *record : this->registry.usable(service)) {
         if (record->part == EndpointPart::Prefill && !this->isChanging(*record)) {
             places.push_back({EngineId(record->id.value()), record->dataCentre});
@@ -95,9 +95,9 @@
     return places;
 }
 
-std::vector<DecodePlaces> FleetView::decodePlaces(const ServiceId &service, const EngineTraits &traits) const
+std::vector<DecodeEngine> FleetView::decodePlaces(const ServiceId &service, const EngineTraits &traits) const
 {
-    std::vector<DecodePlaces> places;
+    std::vector<DecodeEngine> places;
     for (const EndpointRecord *record : this->registry.usable(service)) {
         if (record->part == EndpointPart::Decode && !this->isChanging(*record)) {
             places.push_back(
--- a/programs/gateway/fleetview.h
+++ b/programs/gateway/fleetview.h
@@ -47,8 +47,8 @@
 
     std::vector<EndpointCandidate> plainCandidates(const ServiceId &service) const;
     std::vector<PrefillCandidate> prefillCandidates(const ServiceId &service, const DataCentreId &decode) const;
-    std::vector<PrefillPlace> prefillPlaces(const ServiceId &service) const;
-    std::vector<DecodePlaces> decodePlaces(const ServiceId &service, const EngineTraits &traits) const;
+    std::vector<PrefillEngine> prefillPlaces(const ServiceId &service) const;
+    std::vector<DecodeEngine> decodePlaces(const ServiceId &service, const EngineTraits &traits) const;
     std::vector<EndpointRecord> enginesOf(const ServiceId &service, EndpointPart part) const;
     // The endpoint as it is now; empty where it takes no new work.
     std::optional<EndpointRecord> usable(const EndpointId &id) const;
--- a/programs/gateway/gatekeeper.cpp
+++ b/programs/gateway/gatekeeper.cpp
@@ -75,7 +75,7 @@
     const ForwardedService *declared = config ? config->service(service) : nullptr;
     const bool generates = declared != nullptr && declared->engines;
     gate.core.setEngines(
-        generates ? this->fleet.decodePlaces(service, *declared->engines) : std::vector<DecodePlaces>(), steadyNow());
+        generates ? this->fleet.decodePlaces(service, *declared->engines) : std::vector<DecodeEngine>(), steadyNow());
     gate.core.setPrefillEngines(this->fleet.prefillPlaces(service));
 }
 
@@ -168,7 +168,7 @@
 
 void GateKeeper::submit(Local &local)
 {
-    const GenerationAsk &ask = local.ask;
+    const GenerationRequest &ask = local.ask;
     const Instant now = steadyNow();
     local.isAtLeader = this->uplink || this->isHeld;
     if (this->isHeld) {
@@ -181,11 +181,11 @@
         return;
     }
     this->uplink(peer::AskPlace{ask.id, local.service, static_cast<std::uint64_t>(std::max(0, ask.rank)), ask.prompt,
-                                ask.output, ask.mostOutput, now - ask.arrival, ask.onTimeUntil - now,
+                                ask.output, ask.maxOutput, now - ask.arrival, ask.onTimeUntil - now,
                                 ask.usefulUntil - now, ask.dataCentre, ask.avoid, ask.promptName});
 }
 
-GateAction GateKeeper::ask(const ServiceId &service, const GenerationAsk &ask, const asio::yield_context &yield)
+GateAction GateKeeper::ask(const ServiceId &service, const GenerationRequest &ask, const asio::yield_context &yield)
 {
     const auto local = std::make_shared<Local>(this->io);
     local->service = service;
@@ -216,10 +216,10 @@
         gate.core.onReserved(id);
         return;
     case peer::PlaceEvent::Read:
-        gate.core.onRead(id, now);
+        gate.core.onPrefilled(id, now);
         break;
     case peer::PlaceEvent::ReadFailed:
-        gate.core.onReadFailed(id, now);
+        gate.core.onPrefillFailed(id, now);
         break;
     case peer::PlaceEvent::ResultLost:
         gate.core.onResultLost(id, now);
@@ -284,7 +284,7 @@
         for (const auto &[id, local] : this->locals) {
             if (!local->engine.isEmpty()) {
                 held.places.push_back({id, local->service, local->engine, local->ask.prompt, local->ask.output,
-                                       local->ask.mostOutput, now - local->since});
+                                       local->ask.maxOutput, now - local->since});
             }
         }
         this->uplink(held);
@@ -342,12 +342,12 @@
 void GateKeeper::onAsk(LinkId link, const Send &reply, const peer::AskPlace &message)
 {
     const Instant now = steadyNow();
-    GenerationAsk ask;
+    GenerationRequest ask;
     ask.id = message.request;
     ask.rank = static_cast<int>(message.rank);
     ask.prompt = message.prompt;
     ask.output = message.output;
-    ask.mostOutput = message.mostOutput;
+    ask.maxOutput = message.mostOutput;
     ask.arrival = now - message.waited;
     ask.onTimeUntil = now + message.onTime;
     ask.usefulUntil = now + message.useful;
@@ -372,11 +372,11 @@
 {
     const Instant now = steadyNow();
     for (const peer::HeldPlace &place : message.places) {
-        GenerationAsk ask;
+        GenerationRequest ask;
         ask.id = place.request;
         ask.prompt = place.prompt;
         ask.output = place.output;
-        ask.mostOutput = place.mostOutput;
+        ask.maxOutput = place.mostOutput;
         this->remotes[ask.id] = Remote{link, place.service, {}};
         this->gate(place.service).core.adopt(ask, place.engine, now - place.age);
     }
--- a/programs/gateway/gatekeeper.h
+++ b/programs/gateway/gatekeeper.h
@@ -31,7 +31,7 @@
     GateKeeper(asio::io_context &io, FleetView &fleet, std::uint64_t seed);
 
     // Submits and waits. Ends with RejectGeneration too where the caller went while it waited.
-    GateAction ask(const ServiceId &service, const GenerationAsk &ask, const asio::yield_context &yield);
+    GateAction ask(const ServiceId &service, const GenerationRequest &ask, const asio::yield_context &yield);
     // Waits for the next decision after a place that was full or failed.
     GateAction again(const RequestId &id, const asio::yield_context &yield);
     // What became of the place of a generation of this host.
@@ -77,7 +77,7 @@
         asio::steady_timer timer;
         std::optional<GateAction> decision;
         ServiceId service;
-        GenerationAsk ask;
+        GenerationRequest ask;
         EngineId engine; // its place; empty while it waits
         Instant since;
         bool isAtLeader = false; // the leader was asked and has not decided
--- a/programs/gateway/generationforward.cpp
+++ b/programs/gateway/generationforward.cpp
@@ -7,7 +7,7 @@
 
 #include "programs/gateway/generationforward.h"
 
-#include "decide/readplan.h"
+#include "decide/prefillplan.h"
 #include "wire/clock.h"
 #include "wire/log.h"
 
@@ -51,16 +51,16 @@
     this->call.services.gates.report(this->call.service, this->call.head.id, event, this->made());
 }
 
-GenerationAsk GenerationForward::ask() const
+GenerationRequest GenerationForward::ask() const
 {
     const Route &route = this->call.route;
     const GenerationSize size = this->call.head.generation.value_or(GenerationSize{unknownSize, Tokens(0), {}, {}});
-    GenerationAsk ask;
+    GenerationRequest ask;
     ask.id = this->call.head.id;
     ask.rank = route.rank;
     ask.prompt = size.prompt;
     ask.output = std::min(size.mostOutput, size.likelyOutput.value_or(size.mostOutput));
-    ask.mostOutput = size.mostOutput;
+    ask.maxOutput = size.mostOutput;
     ask.arrival = steadyNow();
     // One that goes on has its first event, and only its caller's patience with a pause.
     const Duration target = this->isStarted ? Duration(0) : std::min(route.target, this->call.timeLeft());
@@ -156,7 +156,7 @@
     FleetView &fleet = this->call.services.fleet;
     RetryBudget &budget = fleet.budget(this->call.service);
     std::vector<PrefillCandidate> candidates = fleet.prefillCandidates(this->call.service, place.engine.dataCentre);
-    ReadPlan plan(this->sends == 0);
+    PrefillPlan plan(this->sends == 0);
     const PromptKey key = this->promptKey();
     std::optional<EngineId> chosen = place.prefill;
     if (chosen->isEmpty() || !fleet.usable(EndpointId(chosen->value()))) {
@@ -165,8 +165,8 @@
     if (!chosen) {
         return std::nullopt;
     }
-    ReadStep step = plan.first(budget, fleet.prefills().isSound(*chosen, steadyNow()));
-    while (step == ReadStep::AskPrefill && chosen) {
+    PrefillStep step = plan.first(budget, fleet.prefills().isHealthy(*chosen, steadyNow()));
+    while (step == PrefillStep::AtPrefillEngine && chosen) {
         const auto found = fleet.usable(EndpointId(chosen->value()));
         if (!found) {
             return std::nullopt;
@@ -363,7 +363,7 @@
 void GenerationForward::logEnd(const char *outcome) const
 {
     this->call.services.metrics.onGenerationEnd(outcome, this->times);
-    const GenerationAsk asked = this->ask();
+    const GenerationRequest asked = this->ask();
     const auto millis = [](const std::optional<Duration> &time) {
         return time ? time->count() / 1000 : -1;
     };
--- a/programs/gateway/generationforward.h
+++ b/programs/gateway/generationforward.h
@@ -52,7 +52,7 @@
     void finish(Ended ended, const asio::yield_context &yield);
     // Takes a retry from the budget; or why there may be none.
     std::optional<NoRetry> claimRetry(Ended ended);
-    GenerationAsk ask() const;
+    GenerationRequest ask() const;
     PromptKey promptKey() const;
     void report(peer::PlaceEvent event);
     Tokens made() const;
--- a/programs/gateway/plainforward.cpp
+++ b/programs/gateway/plainforward.cpp
@@ -85,7 +85,7 @@
     if (isError) {
         this->lastFault = fmt::format("{} answered {}", endpoint.id.value(), head.status);
     }
-    ended(isError ? EndpointOutcome::ErrorAnswer : EndpointOutcome::Answered);
+    ended(isError ? EndpointOutcome::ErrorResponse : EndpointOutcome::Answered);
     this->answered = Answer{endpoint.id, std::move(response), std::move(head)};
     return Sent::Answered;
 }
--- a/wire/routingchangecodec.cpp
+++ b/wire/routingchangecodec.cpp
@@ -161,7 +161,7 @@
         services.push_back(toJson(service));
     }
     Json removed = Json::array();
-    for (const RoutePlace &place : change.removed) {
+    for (const RouteKey &place : change.removed) {
         removed.push_back(Json::array({place.host, place.prefix}));
     }
     Json set = Json::array();
