--- a/decide/testing/prefillpool_test.cpp
+++ b/decide/testing/prefillpool_test.cpp
@@ -132,8 +132,8 @@
         now += Duration(static_cast<std::int64_t>(gapUs));
         simulated.advance(now);
         const auto listed = engines(10);
-        const bool isAnyIdle = std::any_of(listed.begin(), listed.end(), [&](const PrefillEngine &place) {
-            return simulated.isIdle(place.engine, now);
+        const bool isAnyIdle = std::any_of(listed.begin(), listed.end(), [&](const PrefillEngine &entry) {
+            return simulated.isIdle(entry.engine, now);
         });
         const auto engine = pool.start(prompt(number), now);
         ASSERT_TRUE(engine);
