--- a/programs/gateway/configreplica.cpp
+++ b/programs/gateway/configreplica.cpp
@@ -30,16 +30,16 @@
 
 } // namespace
 
-peer::ConfigNews newsOf(const ConfigStep &step)
+peer::ConfigNews updateOf(const ConfigStep &step)
 {
-    peer::ConfigNews news{numberOf(step.row), numberOf(step.beforeRow), {}};
+    peer::ConfigNews update{numberOf(step.row), numberOf(step.beforeRow), {}};
     if (step.before) {
         const RoutingChange change = changeBetween(*step.before, *step.config);
         if (change.set.size() + change.removed.size() <= mostChangedRoutes) {
-            news.change = encodeRoutingChange(change);
+            update.change = encodeRoutingChange(change);
         }
     }
-    return news;
+    return update;
 }
 
 std::optional<ConfigStep> ConfigReplica::takeRow(RowVersion row, std::shared_ptr<const RoutingConfig> decoded)
@@ -54,33 +54,33 @@
     ConfigStep step{this->heldRow, this->held, row, decoded};
     this->held = std::move(decoded);
     this->heldRow = row;
-    this->applyWaiting();
+    this->applyPendingChanges();
     step.row = this->heldRow;
     step.config = this->held;
     return step;
 }
 
-ConfigReplica::NewsOutcome ConfigReplica::takeNews(const peer::ConfigNews &news)
+ConfigReplica::UpdateOutcome ConfigReplica::takeUpdate(const peer::ConfigNews &update)
 {
-    const RowVersion row = rowOf(news.rowVersion);
+    const RowVersion row = rowOf(update.rowVersion);
     if (row <= this->newestRow) {
-        return NewsOutcome::Known;
+        return UpdateOutcome::Known;
     }
-    if (news.change.empty()) {
-        return NewsOutcome::RowNeeded;
+    if (update.change.empty()) {
+        return UpdateOutcome::RowNeeded;
     }
-    const RowVersion from = rowOf(news.after);
+    const RowVersion from = rowOf(update.after);
     if (this->held && from == this->heldRow) {
-        if (!this->apply(row, news.change)) {
-            return NewsOutcome::RowNeeded;
+        if (!this->apply(row, update.change)) {
+            return UpdateOutcome::RowNeeded;
         }
-        this->applyWaiting();
-        return NewsOutcome::Applied;
+        this->applyPendingChanges();
+        return UpdateOutcome::Applied;
     }
-    if (this->waiting.size() < mostWaiting) {
-        this->waiting.insert_or_assign(from, Waiting{row, news.change});
+    if (this->pendingChanges.size() < maxPendingChanges) {
+        this->pendingChanges.insert_or_assign(from, PendingChange{row, update.change});
     }
-    return NewsOutcome::RowNeeded;
+    return UpdateOutcome::RowNeeded;
 }
 
 bool ConfigReplica::apply(RowVersion row, const std::string &change)
@@ -107,13 +107,13 @@
     return true;
 }
 
-void ConfigReplica::applyWaiting()
+void ConfigReplica::applyPendingChanges()
 {
-    this->waiting.erase(this->waiting.begin(), this->waiting.lower_bound(this->heldRow));
-    for (auto next = this->waiting.find(this->heldRow); next != this->waiting.end();
-         next = this->waiting.find(this->heldRow)) {
-        const Waiting change = std::move(next->second);
-        this->waiting.erase(next);
+    this->pendingChanges.erase(this->pendingChanges.begin(), this->pendingChanges.lower_bound(this->heldRow));
+    for (auto next = this->pendingChanges.find(this->heldRow); next != this->pendingChanges.end();
+         next = this->pendingChanges.find(this->heldRow)) {
+        const PendingChange change = std::move(next->second);
+        this->pendingChanges.erase(next);
         if (change.row <= this->newestRow || !this->apply(change.row, change.change)) {
             return;
         }
--- a/programs/gateway/configreplica.h
+++ b/programs/gateway/configreplica.h
@@ -5,9 +5,9 @@
 //     ConfigReplica replica;
 //     if (const auto step = replica.takeRow(row, decoded)) {        // read from the store
 //         use(step->config);
-//         send(newsOf(*step));                                      // on the leader, to its followers
+//         send(updateOf(*step));                                      // on the leader, to its followers
 //     }
-//     if (replica.takeNews(news) == ConfigReplica::NewsOutcome::RowNeeded) { ... read the row ... }
+//     if (replica.takeUpdate(news) == ConfigReplica::UpdateOutcome::RowNeeded) { ... read the row ... }
 
 #include "decide/routingconfig.h"
 #include "wire/messages.h"
@@ -28,14 +28,14 @@
 };
 
 // The row, and the change that leads to it where that is small.
-peer::ConfigNews newsOf(const ConfigStep &step);
+peer::ConfigNews updateOf(const ConfigStep &step);
 
 class ConfigReplica
 {
 public:
-    static constexpr std::size_t mostWaiting = 16; // changes that wait for the row that they lead on from
+    static constexpr std::size_t maxPendingChanges = 16; // changes that wait for the row that they lead on from
 
-    enum class NewsOutcome {
+    enum class UpdateOutcome {
         Known, // this host has that row, or a later one
         Applied,
         RowNeeded, // it has to be read from the store
@@ -43,7 +43,7 @@
 
     // A row as it was read, null where it could not be decoded. None where this host had it, or has nothing new by it.
     std::optional<ConfigStep> takeRow(RowVersion row, std::shared_ptr<const RoutingConfig> decoded);
-    NewsOutcome takeNews(const peer::ConfigNews &news);
+    UpdateOutcome takeUpdate(const peer::ConfigNews &update);
 
     const std::shared_ptr<const RoutingConfig> &config() const
     {
@@ -56,18 +56,18 @@
     }
 
 private:
-    struct Waiting {
+    struct PendingChange {
         RowVersion row; // that the change leads to
         std::string change;
     };
 
     bool apply(RowVersion row, const std::string &change);
-    void applyWaiting();
+    void applyPendingChanges();
 
     std::shared_ptr<const RoutingConfig> held;
     RowVersion heldRow;
     RowVersion newestRow;
-    std::map<RowVersion, Waiting> waiting; // by the row that each leads on from
+    std::map<RowVersion, PendingChange> pendingChanges; // by the row that each leads on from
 };
 
 } // namespace fescuesill
--- a/programs/gateway/fleetview.cpp
+++ b/programs/gateway/fleetview.cpp
@@ -26,12 +26,12 @@
     this->config = read;
 }
 
-void FleetView::take(const StoreUpdate &update, Instant now)
+void FleetView::apply(const StoreUpdate &update, Instant now)
 {
     std::visit(
         Overloaded{[&](const store_update::Config &read) { this->takeConfig(read.config); },
                    [&](const store_update::Listed &listed) {
-                       this->isListed = true;
+                       this->hasEndpointList = true;
                        this->registry.onListed(listed.records, now);
                        Log::info("endpoints_listed", {{"count", static_cast<std::int64_t>(listed.records.size())}});
                    },
@@ -46,11 +46,11 @@
                    },
                    [&](const store_update::Removed &removed) {
                        this->registry.onRemoved(removed.id, now);
-                       this->forgetGone(removed.id);
+                       this->forgetRemoved(removed.id);
                        Log::info("endpoint_removed", {{"endpoint", removed.id.value()}});
                    },
                    [&](const store_update::Lost &) { this->registry.onStoreLost(now); },
-                   [&](const store_update::Back &) { this->registry.onStoreBack(now); },
+                   [&](const store_update::Restored &) { this->registry.onStoreBack(now); },
                    [&](const auto &) {
                    }}, // of the links
         update);
@@ -107,7 +107,7 @@
     return places;
 }
 
-void FleetView::forgetGone(const EndpointId &id)
+void FleetView::forgetRemoved(const EndpointId &id)
 {
     if (this->registry.find(id) == nullptr) {
         this->plainPicker.forget(id);
--- a/programs/gateway/fleetview.h
+++ b/programs/gateway/fleetview.h
@@ -3,15 +3,15 @@
 // What a gateway knows of routes and endpoints, and the decisions that rest on it. Used by the forwarding thread alone.
 //
 //     FleetView fleet(dataCentre, budgetOptions, seed);
-//     fleet.take(update, now);
-//     if (!fleet.isKnown()) { ... not ready ... }
+//     fleet.apply(update, now);
+//     if (!fleet.isInitialised()) { ... not ready ... }
 //     const std::vector<EndpointCandidate> candidates = fleet.plainCandidates(service, now);
 
 #include "decide/endpointpicker.h"
 #include "decide/generationgate.h"
 #include "decide/prefillchoice.h"
 #include "decide/retrybudget.h"
-#include "programs/gateway/storeduty.h"
+#include "programs/gateway/storewatcher.h"
 
 namespace fescuesill
 {
@@ -21,14 +21,14 @@
 public:
     FleetView(DataCentreId dataCentre, const RetryBudget::Options &retries, std::uint64_t seed);
 
-    void take(const StoreUpdate &update, Instant now);
+    void apply(const StoreUpdate &update, Instant now);
     // A configuration and a list of endpoints have been read since the start.
-    bool isKnown() const
+    bool isInitialised() const
     {
-        return this->config != nullptr && this->isListed;
+        return this->config != nullptr && this->hasEndpointList;
     }
     // In force here; null before the first.
-    const std::shared_ptr<const RoutingConfig> &inForce() const
+    const std::shared_ptr<const RoutingConfig> &activeConfig() const
     {
         return this->config;
     }
@@ -77,12 +77,12 @@
     void takeConfig(const std::shared_ptr<const RoutingConfig> &read);
     bool isChanging(const EndpointRecord &record) const;
     // What was measured of an endpoint that is gone for good is of no use, and names come and go for months.
-    void forgetGone(const EndpointId &id);
+    void forgetRemoved(const EndpointId &id);
 
     DataCentreId dataCentre;
     RetryBudget::Options retries;
     std::shared_ptr<const RoutingConfig> config;
-    bool isListed = false;
+    bool hasEndpointList = false;
     EndpointRegistry registry;
     std::uint64_t version = 0; // of the registry
     Instant versionSince;
--- a/programs/gateway/forwarding.h
+++ b/programs/gateway/forwarding.h
@@ -6,9 +6,9 @@
 //     call.refuse({RefusalCode::Overloaded, RunState::NotRun, "all endpoints are full", 100ms}, yield);
 
 #include "platform/calldialect.h"
-#include "programs/gateway/gatekeeper.h"
 #include "programs/gateway/gatewaymetrics.h"
 #include "programs/gateway/gatewaysettings.h"
+#include "programs/gateway/placementgates.h"
 
 namespace fescuesill
 {
@@ -17,7 +17,7 @@
     const GatewaySettings &settings;
     asio::io_context &io;
     FleetView &fleet;
-    GateKeeper &gates;
+    PlacementGates &gates;
     HttpClient &client;
     GatewayMetrics &metrics;
 };
--- a/programs/gateway/gatewaymetrics.cpp
+++ b/programs/gateway/gatewaymetrics.cpp
@@ -61,7 +61,7 @@
                                                         .Register(this->registry);
     prometheus::Histogram &answer = this->times.Add({{"of", "plain_answer"}}, answerBuckets);
     prometheus::Histogram &placed = this->times.Add({{"of", "place"}}, eventBuckets);
-    prometheus::Histogram &read = this->times.Add({{"of", "read"}}, eventBuckets);
+    prometheus::Histogram &prefilled = this->times.Add({{"of", "read"}}, eventBuckets);
     prometheus::Histogram &firstEvent = this->times.Add({{"of", "first_event"}}, eventBuckets);
     prometheus::Histogram &longestPause = this->times.Add({{"of", "longest_pause"}}, eventBuckets);
 };
@@ -83,7 +83,7 @@
 {
     this->families->calls.Add({{"kind", "generation"}, {"outcome", outcome}}).Increment();
     observe(this->families->placed, times.placed);
-    observe(this->families->read, times.read);
+    observe(this->families->prefilled, times.prefilled);
     observe(this->families->firstEvent, times.firstEvent);
     observe(this->families->longestPause, times.longestPause);
 }
--- a/programs/gateway/gatewaymetrics.h
+++ b/programs/gateway/gatewaymetrics.h
@@ -20,7 +20,7 @@
 // Times of one generation, from its arrival but for the pause; none for what it did not come to.
 struct GenerationTimes {
     std::optional<Duration> placed;
-    std::optional<Duration> read;
+    std::optional<Duration> prefilled;
     std::optional<Duration> firstEvent;
     std::optional<Duration> longestPause; // between two events
 };
--- a/programs/gateway/gatewayprogram.cpp
+++ b/programs/gateway/gatewayprogram.cpp
@@ -20,11 +20,11 @@
 namespace
 {
 
-constexpr std::size_t updateRing = 1024; // rows of the store between two turns of the forwarding thread
-constexpr Duration tick{100ms}; // of what is due by time alone: grace of vanished endpoints, the planned stop
-constexpr Duration comeBackWithoutConfig{1s}; // a host that just started reads its configuration within that
-constexpr Duration comeBackWhenStopping{100ms}; // another host takes the next connection
-constexpr Bytes headerSpace{4 << 10}; // beside the header limit, for the request line
+constexpr std::size_t updateRingSize = 1024; // rows of the store between two turns of the forwarding thread
+constexpr Duration tickInterval{100ms}; // of what is due by time alone: grace of vanished endpoints, the planned stop
+constexpr Duration retryAfterWithoutConfig{1s}; // a host that just started reads its configuration within that
+constexpr Duration retryAfterWhenStopping{100ms}; // another host takes the next connection
+constexpr Bytes requestLineAllowance{4 << 10}; // beside the header limit, for the request line
 
 HttpClient::Options clientOptions(const GatewaySettings &settings)
 {
@@ -50,7 +50,7 @@
         , draining(Draining::Options{given.announce, given.grace})
         , timer(this->io)
         , signals(this->io, SIGTERM, SIGINT)
-        , updates(updateRing, [this] { asio::post(this->io, [this] { this->takeUpdates(); }); })
+        , updates(updateRingSize, [this] { asio::post(this->io, [this] { this->applyUpdates(); }); })
     {
     }
 
@@ -60,7 +60,7 @@
     void serve(HttpCall &call, HttpReply &reply, const asio::yield_context &yield);
     void forward(HttpCall &call, HttpReply &reply, const asio::yield_context &yield);
     void answerReady(const HttpCall &call, HttpReply &reply, const asio::yield_context &yield);
-    void takeUpdates();
+    void applyUpdates();
     void applyLimits();
     void onChanging(const peer::EngineChanging &change);
     void onTick();
@@ -71,7 +71,7 @@
     std::uint64_t seed;
     asio::io_context io{1};
     FleetView fleet;
-    GateKeeper gates;
+    PlacementGates gates;
     HttpClient client;
     GatewayMetrics metrics;
     GatewayServices services;
@@ -83,20 +83,20 @@
     std::unique_ptr<HttpServer> callers;
     std::unique_ptr<HttpServer> ready;
     std::unique_ptr<LeaderLink> links; // null where the settings name no address for them
-    std::unique_ptr<StoreDuty> store;
-    ConfigVersion limitsOf;
+    std::unique_ptr<StoreWatcher> store;
+    ConfigVersion limitsVersion;
     int inProgress = 0;
 };
 
-void Gateway::takeUpdates()
+void Gateway::applyUpdates()
 {
     while (const auto update = this->updates.tryPop()) {
         if (const auto *leader = std::get_if<store_update::Leader>(&*update)) {
             this->links->onLeader(*leader);
-        } else if (const auto *news = std::get_if<store_update::News>(&*update)) {
-            this->links->onNews(*news);
+        } else if (const auto *peerUpdate = std::get_if<store_update::PeerUpdate>(&*update)) {
+            this->links->onUpdate(*peerUpdate);
         } else {
-            this->fleet.take(*update, steadyNow());
+            this->fleet.apply(*update, steadyNow());
         }
     }
     this->fleet.setRegistryVersion(this->store->knownVersion(), steadyNow());
@@ -109,19 +109,19 @@
     this->fleet.setChanging(EndpointId(change.engine.value()), steadyNow() + change.lasts);
     this->gates.onFleetChanged();
     if (this->links) {
-        this->links->onNews({change, std::nullopt});
+        this->links->onUpdate({change, std::nullopt});
     }
 }
 
 void Gateway::applyLimits()
 {
-    const auto &config = this->fleet.inForce();
-    if (!config || config->version == this->limitsOf || !this->callers) {
+    const auto &config = this->fleet.activeConfig();
+    if (!config || config->version == this->limitsVersion || !this->callers) {
         return;
     }
-    this->limitsOf = config->version;
+    this->limitsVersion = config->version;
     HttpServer::Options limits;
-    limits.headerLimit = config->limits.header + headerSpace;
+    limits.headerLimit = config->limits.header + requestLineAllowance;
     limits.bodyLimit = config->limits.body;
     limits.headerLimitTime = config->limits.headerTime;
     limits.idleLimit = config->limits.idle;
@@ -132,11 +132,11 @@
 {
     const Instant arrival = steadyNow();
     const CallHead head = readCallHead(call);
-    const auto config = this->fleet.inForce(); // stays as it is for this call, also where a newer one comes
-    if (!this->fleet.isKnown()) {
+    const auto config = this->fleet.activeConfig(); // stays as it is for this call, also where a newer one comes
+    if (!this->fleet.isInitialised()) {
         sendRefusal(
             reply, head.id,
-            {RefusalCode::NoConfiguration, RunState::NotRun, "no configuration read yet", comeBackWithoutConfig},
+            {RefusalCode::NoConfiguration, RunState::NotRun, "no configuration read yet", retryAfterWithoutConfig},
             yield);
         return;
     }
@@ -166,7 +166,7 @@
     // A generation lasts seconds: one taken late in the time to stop would be cut off when it ends.
     if (!this->draining.admits(steadyNow())) {
         Refusal refusal = drainingRefusal();
-        refusal.retryAfter = comeBackWhenStopping;
+        refusal.retryAfter = retryAfterWhenStopping;
         sendRefusal(reply, readRequestId(call), refusal, yield);
         return;
     }
@@ -183,20 +183,20 @@
 void Gateway::answerReady(const HttpCall &call, HttpReply &reply, const asio::yield_context &yield)
 {
     if (call.target == "/metrics") {
-        const auto &config = this->fleet.inForce();
+        const auto &config = this->fleet.activeConfig();
         this->metrics.set({this->inProgress, this->gates.waiting(), this->gates.placed(),
                            config ? config->version : ConfigVersion(), this->store->registryAge(),
                            this->links && this->links->leads(), this->gates.isFollowing()});
         reply.send(200, this->metrics.text(), yield, {{"Content-Type", "text/plain; version=0.0.4"}});
         return;
     }
-    const bool isReady = this->fleet.isKnown() && this->draining.isReady();
+    const bool isReady = this->fleet.isInitialised() && this->draining.isReady();
     reply.send(isReady ? 200 : 503, isReady ? R"({"ready":true})" : R"({"ready":false})", yield);
 }
 
 void Gateway::armTick()
 {
-    this->timer.expires_after(tick);
+    this->timer.expires_after(tickInterval);
     this->timer.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
             this->onTick();
@@ -266,8 +266,9 @@
         return 1;
     }
     const LeaseRow self{this->settings.host, this->settings.peers, 0};
-    this->store = std::make_unique<StoreDuty>(
-        StoreDuty::Options{this->settings.store, this->settings.contact, self, this->settings.lease}, this->updates);
+    this->store = std::make_unique<StoreWatcher>(
+        StoreWatcher::Options{this->settings.store, this->settings.contactLimit, self, this->settings.lease},
+        this->updates);
     if (this->links) {
         this->links->setStore(*this->store);
     }
--- a/programs/gateway/gatewaysettings.cpp
+++ b/programs/gateway/gatewaysettings.cpp
@@ -16,7 +16,7 @@
     settings.ready = reader->address("listen", "ready");
     settings.peers = reader->text("listen", "peers", "");
     settings.store = reader->address("store", "address");
-    settings.contact = reader->decimal("store", "contact_ms", 1ms, settings.contact, {100ms, 10min});
+    settings.contactLimit = reader->decimal("store", "contact_ms", 1ms, settings.contactLimit, {100ms, 10min});
     settings.lease = reader->decimal("store", "lease_ms", 1ms, settings.lease, {100ms, 10min});
     settings.grace = reader->decimal("stop", "grace_s", 1s, settings.grace, {100ms, 1h});
     settings.announce = reader->duration("stop", "announce", settings.announce, {0s, 1min});
--- a/programs/gateway/gatewaysettings.h
+++ b/programs/gateway/gatewaysettings.h
@@ -23,7 +23,7 @@
     std::string store; // IP:PORT of the users' store
     // How long a host may go without hearing of a change. A wait at the store is half of it, so that a connection that
     // went silent is found and replaced in time.
-    Duration contact{3s};
+    Duration contactLimit{3s};
     Duration lease{3s}; // of the leader: no other host acts as one sooner after it
     Duration grace{8s}; // from the signal to stop until the process is killed
     Duration announce{3s}; // how long the balancer takes to see that this host stops: two questions, one a second
--- a/programs/gateway/generationforward.cpp
+++ b/programs/gateway/generationforward.cpp
@@ -17,19 +17,19 @@
 {
 
 // A caller that says nothing of the size of its prompt gets the place of a long one.
-constexpr Tokens unknownSize(8000);
+constexpr Tokens defaultPromptSize(8000);
 // A caller gives up on a stream that shows nothing for two seconds, four times its target or eight times its longest
 // pause, whichever is longest.
-constexpr Duration leastPatience{2s};
+constexpr Duration minPatience{2s};
 // Time kept for the reservation, the read and the first step when a place comes free.
-constexpr Duration readTime{250ms};
+constexpr Duration prefillTime{250ms};
 // Reserved beside the prompt: some ten events. All of the output would push other generations out of the engine's
 // memory long before it is made; how much all of them will grow is what the gate forecasts.
 constexpr Tokens reservedOutput(500);
 // A read that takes longer waits behind several others or at an engine that went dark; the decode engine reads sooner.
-constexpr Duration readLimit{700ms};
-constexpr Duration comeBackSoonest{500ms};
-constexpr Duration giveBackLimit{1s}; // for giving back a reservation or a result, which lapse by themselves later
+constexpr Duration prefillLimit{700ms};
+constexpr Duration minRetryAfter{500ms};
+constexpr Duration releaseLimit{1s}; // for giving back a reservation or a result, which lapse by themselves later
 constexpr int statusOk = 200;
 
 } // namespace
@@ -37,46 +37,47 @@
 const EngineTraits &GenerationForward::traits() const
 {
     static const EngineTraits none;
-    const ForwardedService *declared = this->call.services.fleet.inForce()->service(this->call.service);
+    const ForwardedService *declared = this->call.services.fleet.activeConfig()->service(this->call.service);
     return declared != nullptr && declared->engines ? *declared->engines : none;
 }
 
-Tokens GenerationForward::made() const
+Tokens GenerationForward::outputTokens() const
 {
-    return Tokens(this->eventsMade * this->traits().perEvent.value());
+    return Tokens(this->eventsProduced * this->traits().perEvent.value());
 }
 
 void GenerationForward::report(peer::PlaceEvent event)
 {
-    this->call.services.gates.report(this->call.service, this->call.head.id, event, this->made());
+    this->call.services.gates.report(this->call.service, this->call.head.id, event, this->outputTokens());
 }
 
-GenerationAsk GenerationForward::ask() const
+GenerationAsk GenerationForward::placementRequest() const
 {
     const Route &route = this->call.route;
-    const GenerationSize size = this->call.head.generation.value_or(GenerationSize{unknownSize, Tokens(0), {}, {}});
-    GenerationAsk ask;
-    ask.id = this->call.head.id;
-    ask.rank = route.rank;
-    ask.prompt = size.prompt;
-    ask.output = std::min(size.mostOutput, size.likelyOutput.value_or(size.mostOutput));
-    ask.mostOutput = size.mostOutput;
-    ask.arrival = steadyNow();
+    const GenerationSize size =
+        this->call.head.generation.value_or(GenerationSize{defaultPromptSize, Tokens(0), {}, {}});
+    GenerationAsk request;
+    request.id = this->call.head.id;
+    request.rank = route.rank;
+    request.prompt = size.prompt;
+    request.output = std::min(size.maxOutput, size.expectedOutput.value_or(size.maxOutput));
+    request.mostOutput = size.maxOutput;
+    request.arrival = steadyNow();
     // One that goes on has its first event, and only its caller's patience with a pause.
     const Duration target = this->isStarted ? Duration(0) : std::min(route.target, this->call.timeLeft());
-    ask.onTimeUntil = this->call.arrival + std::max<Duration>(target - readTime, target / 2);
-    const Duration patience = std::max({leastPatience, route.target * 4, route.longestPause * 8});
-    ask.usefulUntil = std::min(this->call.deadline(), ask.arrival + patience) - readTime;
-    ask.dataCentre = this->call.services.settings.dataCentre;
-    ask.avoid = this->avoid;
-    ask.promptName = size.ownPart;
-    return ask;
+    request.onTimeUntil = this->call.arrival + std::max<Duration>(target - prefillTime, target / 2);
+    const Duration patience = std::max({minPatience, route.target * 4, route.longestPause * 8});
+    request.usefulUntil = std::min(this->call.deadline(), request.arrival + patience) - prefillTime;
+    request.dataCentre = this->call.services.settings.dataCentre;
+    request.avoid = this->avoid;
+    request.promptName = size.uniquePart;
+    return request;
 }
 
 PromptKey GenerationForward::promptKey() const
 {
     const auto &size = this->call.head.generation;
-    return size ? PromptKey{size->ownPart, size->prompt} : PromptKey{{}, unknownSize};
+    return size ? PromptKey{size->uniquePart, size->prompt} : PromptKey{{}, defaultPromptSize};
 }
 
 void GenerationForward::checkCaller() const
@@ -90,8 +91,8 @@
                                                                      const asio::yield_context &yield)
 {
     const auto &services = this->call.services;
-    const HttpRequest request =
-        reservationRequest(decode.id, this->ask().prompt + reservedOutput, this->traits().longestReservation);
+    const HttpRequest request = reservationRequest(decode.id, this->placementRequest().prompt + reservedOutput,
+                                                   this->traits().longestReservation);
     try {
         const HttpResponse response = services.client.call(
             decode.address, request, {services.settings.reservationLimit, Reuse::Never, &this->abort}, yield);
@@ -112,7 +113,7 @@
 std::optional<GenerationForward::Place> GenerationForward::reserve(const asio::yield_context &yield)
 {
     const auto &services = this->call.services;
-    GateAction action = services.gates.ask(this->call.service, this->ask(), yield);
+    GateAction action = services.gates.requestPlacement(this->call.service, this->placementRequest(), yield);
     while (const auto *attempt = std::get_if<TryReserve>(&action)) {
         this->checkCaller();
         const auto decode = services.fleet.usable(EndpointId(attempt->engine.value()));
@@ -122,7 +123,7 @@
             place->prefill = attempt->prefill;
             return place;
         }
-        action = services.gates.again(this->call.head.id, yield);
+        action = services.gates.nextDecision(this->call.head.id, yield);
     }
     this->checkCaller();
     this->retryAfter = std::get<RejectGeneration>(action).retryAfter;
@@ -139,8 +140,9 @@
     services.fleet.prefills().onSent(id, prompt);
     std::optional<KvId> result;
     try {
-        const HttpResponse response = services.client.call(
-            engine.address, request, {std::min(this->call.timeLeft(), readLimit), Reuse::Never, &this->abort}, yield);
+        const HttpResponse response =
+            services.client.call(engine.address, request,
+                                 {std::min(this->call.timeLeft(), prefillLimit), Reuse::Never, &this->abort}, yield);
         result = readPrefillResult(response);
         this->lastFault = result ? "" : "prefill refused by " + engine.id.value();
     } catch (const HttpError &error) {
@@ -191,22 +193,22 @@
     return std::nullopt;
 }
 
-GenerationForward::Ended GenerationForward::handOnError(LineStream &answer, const AnswerHead &head,
-                                                        const asio::yield_context &yield)
+GenerationForward::Outcome GenerationForward::forwardError(LineStream &answer, const AnswerHead &head,
+                                                           const asio::yield_context &yield)
 {
     const std::string body = answer.readAll(this->call.timeLeft(), yield);
     if (this->isStarted) {
-        return Ended::Broken;
+        return Outcome::Broken;
     }
     this->call.reply.onGone({});
     this->call.reply.forward(head.status, body, head.headers, yield);
-    return Ended::Whole;
+    return Outcome::Whole;
 }
 
-void GenerationForward::noteEvents()
+void GenerationForward::recordEvents()
 {
     const Instant now = steadyNow();
-    this->eventsMade += this->events.wholeEvents();
+    this->eventsProduced += this->events.wholeEvents();
     if (!this->times.firstEvent) {
         this->times.firstEvent = now - this->call.arrival;
     } else {
@@ -215,7 +217,7 @@
     this->lastEventAt = now;
 }
 
-GenerationForward::Ended GenerationForward::relay(LineStream &stream, const asio::yield_context &yield)
+GenerationForward::Outcome GenerationForward::relay(LineStream &stream, const asio::yield_context &yield)
 {
     std::string bytes;
     while (stream.readSome(bytes, this->call.timeLeft(), yield)) {
@@ -224,20 +226,20 @@
         if (whole.empty()) {
             continue;
         }
-        this->noteEvents();
+        this->recordEvents();
         this->call.reply.write(whole, yield);
         if (this->events.isTooLong()) {
             this->lastFault = "an event without an end";
-            return Ended::Broken;
+            return Outcome::Broken;
         }
     }
     this->call.reply.write(this->events.rest(), yield);
     this->call.reply.finish(yield);
-    return Ended::Whole;
+    return Outcome::Whole;
 }
 
-GenerationForward::Ended GenerationForward::generate(const Place &place, const std::optional<Prefill> &read,
-                                                     const asio::yield_context &yield)
+GenerationForward::Outcome GenerationForward::generate(const Place &place, const std::optional<Prefill> &read,
+                                                       const asio::yield_context &yield)
 {
     const auto &services = this->call.services;
     GenerationStart start{place.engine.id, {}, {}, place.reservation, this->events.lastEvent()};
@@ -251,16 +253,16 @@
         LineStream stream = services.client.open(place.engine.address, request,
                                                  {this->call.timeLeft(), Reuse::Never, &this->abort}, yield);
         const AnswerHead head = readAnswerHead(stream.head(), this->call.head.id);
-        if (head.saysNotRun) {
+        if (head.reportsNotRun) {
             this->lastFault = "the engine did not take it";
-            return Ended::NotRun;
+            return Outcome::NotRun;
         }
         if (!head.isForThisCall || head.isEncoded) {
             this->lastFault = "not the answer to this call";
-            return Ended::Broken;
+            return Outcome::Broken;
         }
         if (head.status != statusOk) {
-            return this->handOnError(stream, head, yield);
+            return this->forwardError(stream, head, yield);
         }
         if (!this->isStarted) {
             this->isStarted = true;
@@ -271,7 +273,7 @@
         this->lastFault = error.what();
         this->sends -= error.isKnownNotSent() ? 1 : 0;
         this->checkCaller();
-        return error.isKnownNotSent() ? Ended::NotRun : Ended::Broken;
+        return error.isKnownNotSent() ? Outcome::NotRun : Outcome::Broken;
     }
 }
 
@@ -279,23 +281,23 @@
 void GenerationForward::release(const Place &place, const std::optional<Prefill> &read)
 {
     HttpClient &client = this->call.services.client;
-    const auto giveBack = [&](const std::string &address, const HttpRequest &request) {
+    const auto sendRelease = [&](const std::string &address, const HttpRequest &request) {
         startCoroutine(this->call.services.io, [&client, address, request](const asio::yield_context &yield) {
             try {
-                client.call(address, request, {giveBackLimit, Reuse::Never}, yield);
+                client.call(address, request, {releaseLimit, Reuse::Never}, yield);
             } catch (const HttpError &error) {
                 Log::info("not_given_back", {{"engine", address}, {"reason", error.what()}});
             }
         });
     };
-    giveBack(place.engine.address, releaseRequest(place.reservation));
+    sendRelease(place.engine.address, releaseRequest(place.reservation));
     if (read) {
-        giveBack(read->address, dropResultRequest(read->result));
+        sendRelease(read->address, dropResultRequest(read->result));
     }
 }
 
 // The decode engine had room reserved, so it refused because it could not get the result.
-void GenerationForward::noteLostResult(const Place &place)
+void GenerationForward::reportLostResult(const Place &place)
 {
     const EngineId id(this->prefillEngine.value());
     this->call.services.fleet.prefills().onResultLost(id, steadyNow());
@@ -304,32 +306,32 @@
     }
 }
 
-GenerationForward::Ended GenerationForward::tryOnce(const asio::yield_context &yield)
+GenerationForward::Outcome GenerationForward::tryOnce(const asio::yield_context &yield)
 {
     const auto place = this->reserve(yield);
     if (!place) {
-        return Ended::NoPlace;
+        return Outcome::NoPlacement;
     }
     this->engine = place->engine.id;
     this->times.placed = steadyNow() - this->call.arrival;
     std::optional<Prefill> read;
     try {
-        if (!this->readsItself) {
+        if (!this->isSelfPrefilled) {
             read = this->prefill(*place, yield);
         }
-        this->readsItself = !read;
-        this->times.read = steadyNow() - this->call.arrival;
-        const Ended ended = this->generate(*place, read, yield);
-        if (ended == Ended::NotRun) {
+        this->isSelfPrefilled = !read;
+        this->times.prefilled = steadyNow() - this->call.arrival;
+        const Outcome ended = this->generate(*place, read, yield);
+        if (ended == Outcome::NotRun) {
             this->release(*place, read);
         }
-        const bool isResultLost = ended == Ended::NotRun && read;
+        const bool isResultLost = ended == Outcome::NotRun && read;
         if (isResultLost) {
-            this->noteLostResult(*place);
+            this->reportLostResult(*place);
         }
-        const bool isFault = ended == Ended::Broken || (ended == Ended::NotRun && !isResultLost);
+        const bool isFault = ended == Outcome::Broken || (ended == Outcome::NotRun && !isResultLost);
         this->report(isFault ? peer::PlaceEvent::EndedByFault : peer::PlaceEvent::Ended);
-        if (ended == Ended::Broken) {
+        if (ended == Outcome::Broken) {
             this->avoid = EngineId(place->engine.id.value());
         }
         return ended;
@@ -341,16 +343,16 @@
     }
 }
 
-std::optional<NoRetry> GenerationForward::claimRetry(Ended ended)
+std::optional<NoRetry> GenerationForward::claimRetry(Outcome ended)
 {
-    if (ended == Ended::Whole || ended == Ended::NoPlace) {
+    if (ended == Outcome::Whole || ended == Outcome::NoPlacement) {
         return NoRetry::None;
     }
     if (this->call.timeLeft() <= 0ms) {
         return NoRetry::NoTime;
     }
-    const bool mayStartAnew = ended == Ended::NotRun && !this->isStarted;
-    if (!mayStartAnew && !(ended == Ended::Broken && this->call.route.isResumable)) {
+    const bool mayStartAnew = ended == Outcome::NotRun && !this->isStarted;
+    if (!mayStartAnew && !(ended == Outcome::Broken && this->call.route.isResumable)) {
         return NoRetry::NotRepeatable;
     }
     const int allowed = std::max(this->call.route.attempts, mayStartAnew ? 2 : 1);
@@ -363,7 +365,7 @@
 void GenerationForward::logEnd(const char *outcome) const
 {
     this->call.services.metrics.onGenerationEnd(outcome, this->times);
-    const GenerationAsk asked = this->ask();
+    const GenerationAsk request = this->placementRequest();
     const auto millis = [](const std::optional<Duration> &time) {
         return time ? time->count() / 1000 : -1;
     };
@@ -374,13 +376,13 @@
                {"outcome", outcome},
                {"engine", this->engine.value()},
                {"sends", this->sends},
-               {"self_read", this->readsItself},
-               {"prompt", asked.prompt.value()},
-               {"expected_output", asked.output.value()},
-               {"output", this->made().value()},
+               {"self_read", this->isSelfPrefilled},
+               {"prompt", request.prompt.value()},
+               {"expected_output", request.output.value()},
+               {"output", this->outputTokens().value()},
                {"prefill", this->prefillEngine.value()},
                {"placed_ms", millis(this->times.placed)},
-               {"read_ms", millis(this->times.read)},
+               {"read_ms", millis(this->times.prefilled)},
                {"longest_pause_ms", millis(this->times.longestPause)},
                {"first_event_ms", millis(this->times.firstEvent)},
                {"took_ms", (steadyNow() - this->call.arrival).count() / 1000},
@@ -390,10 +392,10 @@
                {"registry_age_ms", this->call.services.fleet.registryAge(steadyNow()).count() / 1000}});
 }
 
-void GenerationForward::finish(Ended ended, const asio::yield_context &yield)
+void GenerationForward::finish(Outcome ended, const asio::yield_context &yield)
 {
     this->call.reply.onGone({});
-    if (ended == Ended::Whole) {
+    if (ended == Outcome::Whole) {
         this->logEnd("whole");
         return;
     }
@@ -402,8 +404,8 @@
         this->call.reply.cut();
         return;
     }
-    this->logEnd(ended == Ended::Broken ? "failed" : "refused");
-    if (ended == Ended::Broken) {
+    this->logEnd(ended == Outcome::Broken ? "failed" : "refused");
+    if (ended == Outcome::Broken) {
         const bool isLate = this->call.timeLeft() <= 0ms;
         this->call.refuse({isLate ? RefusalCode::OutcomeUnknown : RefusalCode::EndpointFailed, RunState::MayHaveRun,
                            this->lastFault, std::nullopt},
@@ -412,7 +414,7 @@
     }
     const std::string reason = this->lastFault.empty() ? "no engine has room in time" : this->lastFault;
     this->call.refuse({RefusalCode::Overloaded, RunState::NotRun, reason,
-                       std::max<Duration>(this->retryAfter.value_or(comeBackSoonest), comeBackSoonest)},
+                       std::max<Duration>(this->retryAfter.value_or(minRetryAfter), minRetryAfter)},
                       this->noRetry, yield);
 }
 
@@ -422,11 +424,11 @@
     const RequestId &id = this->call.head.id;
     this->call.reply.onGone([this, &services, &id] {
         this->abort.abort();
-        services.gates.wake(id);
+        services.gates.cancelWait(id);
     });
     services.fleet.budget(this->call.service).onSuccess();
     try {
-        Ended ended = this->tryOnce(yield);
+        Outcome ended = this->tryOnce(yield);
         auto reason = this->claimRetry(ended);
         while (!reason) {
             this->events.dropRest();
--- a/programs/gateway/leaderlink.cpp
+++ b/programs/gateway/leaderlink.cpp
@@ -16,23 +16,23 @@
 namespace
 {
 
-constexpr std::size_t eventRing = 4096;
+constexpr std::size_t eventRingSize = 4096;
 // Bytes to all followers. More would hold up places for generations on a leader with a slow link; the store has room.
-constexpr std::size_t mostChangeFanOut = 256 << 10;
-constexpr Duration askToFollowAgain{1s}; // one message of a few bytes; meanwhile this host reads the store itself
+constexpr std::size_t maxChangeFanOutBytes = 256 << 10;
+constexpr Duration followRequestInterval{1s}; // one message of a few bytes; meanwhile this host reads the store itself
 
 } // namespace
 
-LeaderLink::LeaderLink(asio::io_context &io, const std::string &address, GateKeeper &keeper)
-    : gates(keeper)
+LeaderLink::LeaderLink(asio::io_context &io, const std::string &address, PlacementGates &placementGates)
+    : gates(placementGates)
     , ownAddress(address)
     , route(address, PlacingRoute::Options{})
-    , events(eventRing, [this, &io] { asio::post(io, [this] { this->drain(); }); })
+    , events(eventRingSize, [this, &io] { asio::post(io, [this] { this->drain(); }); })
 {
 }
 
 tl::expected<std::unique_ptr<LeaderLink>, WireError> LeaderLink::create(asio::io_context &io, const Options &options,
-                                                                        GateKeeper &gates)
+                                                                        PlacementGates &gates)
 {
     std::unique_ptr<LeaderLink> link(new LeaderLink(io, options.listen, gates));
     LeaderLink *self = link.get();
@@ -85,10 +85,10 @@
     }
 }
 
-void LeaderLink::setSeen(bool isSeen)
+void LeaderLink::setLeaderReachable(bool isReachable)
 {
-    Log::info(isSeen ? "leader_reached" : "leader_lost", {{"address", this->leaderAddress}});
-    this->store->setLeaderSeen(isSeen);
+    Log::info(isReachable ? "leader_reached" : "leader_lost", {{"address", this->leaderAddress}});
+    this->store->setLeaderReachable(isReachable);
 }
 
 bool LeaderLink::isDeputyLink(LinkId link) const
@@ -96,7 +96,7 @@
     return this->deputy && this->deputy->link == link;
 }
 
-void LeaderLink::steer(Instant now)
+void LeaderLink::applyRoute(Instant now)
 {
     const auto wanted = this->route.wantedDeputy(now);
     if (this->deputy && (!wanted || *wanted != this->deputy->address)) {
@@ -106,20 +106,20 @@
     if (wanted && !this->deputy) {
         this->deputy = DeputyLink{*wanted, this->node->connect(*wanted)};
     }
-    this->takePath(this->route.path(now));
-    const bool wasStandingIn = this->isStandingIn;
-    this->isStandingIn = this->route.isStandingIn();
-    const bool placesForAll = this->isLeading || this->isStandingIn || this->path != PlacingPath::Alone;
+    this->switchPath(this->route.path(now));
+    const bool wasActing = this->isActing;
+    this->isActing = this->route.isStandingIn();
+    const bool placesForAll = this->isLeading || this->isActing || this->path != PlacingPath::Alone;
     this->gates.setShare(placesForAll ? 1 : 1.0 / static_cast<double>(this->hosts));
-    if (this->isStandingIn != wasStandingIn) {
-        Log::info("standing_in", {{"for_leader", this->isStandingIn}, {"address", this->leaderAddress}});
+    if (this->isActing != wasActing) {
+        Log::info("standing_in", {{"for_leader", this->isActing}, {"address", this->leaderAddress}});
     }
-    if (wasStandingIn && !this->isStandingIn && !this->isLeading) {
+    if (wasActing && !this->isActing && !this->isLeading) {
         this->endPlacing();
     }
 }
 
-void LeaderLink::takePath(PlacingPath next)
+void LeaderLink::switchPath(PlacingPath next)
 {
     std::optional<LinkId> link;
     if (next == PlacingPath::Leader) {
@@ -133,7 +133,7 @@
     this->path = next;
     this->uplink = link;
     if (next == PlacingPath::Waiting) {
-        this->gates.hold();
+        this->gates.suspend();
     } else if (link) {
         this->gates.setUplink([this, to = *link](const peer::Message &message) { this->node->send(to, message); });
     } else {
@@ -147,54 +147,54 @@
     if (this->uplink) {
         this->node->send(*this->uplink, peer::FollowerAddress{});
     }
-    this->steer(steadyNow());
+    this->applyRoute(steadyNow());
 }
 
-void LeaderLink::nameDeputy()
+void LeaderLink::announceDeputy()
 {
-    if (this->namedDeputy == this->deputies.deputy()) {
+    if (this->announcedDeputy == this->deputies.deputy()) {
         return;
     }
-    this->namedDeputy = this->deputies.deputy();
+    this->announcedDeputy = this->deputies.deputy();
     for (const auto &[link, address] : this->deputies.followers()) {
-        this->node->send(link, this->deputyNamed());
+        this->node->send(link, this->deputyAnnouncement());
     }
 }
 
-peer::DeputyNamed LeaderLink::deputyNamed() const
+peer::DeputyNamed LeaderLink::deputyAnnouncement() const
 {
-    return {this->namedDeputy, this->deputies.followers().size() + 1};
+    return {this->announcedDeputy, this->deputies.followers().size() + 1};
 }
 
 // Two gates would fill the same engines.
 void LeaderLink::endPlacing()
 {
-    for (const LinkId follower : this->placedFor) {
+    for (const LinkId follower : this->placementClients) {
         this->node->send(follower, peer::LeadEnded{});
         this->gates.onFollowerLost(follower);
     }
-    this->placedFor.clear();
+    this->placementClients.clear();
     this->deputies.clear();
-    this->namedDeputy.clear();
+    this->announcedDeputy.clear();
 }
 
 // Its followers would wait for news that does not come.
-void LeaderLink::endLead()
+void LeaderLink::endLeading()
 {
     this->endPlacing();
     this->followers.clear();
 }
 
-void LeaderLink::onNews(const store_update::News &news)
+void LeaderLink::onUpdate(const store_update::PeerUpdate &update)
 {
-    peer::Message message = news.message;
+    peer::Message message = update.message;
     if (auto *config = std::get_if<peer::ConfigNews>(&message)) {
-        if (config->change.size() * this->followers.size() > mostChangeFanOut) {
+        if (config->change.size() * this->followers.size() > maxChangeFanOutBytes) {
             config->change.clear();
         }
     }
     for (const LinkId follower : this->followers) {
-        if (!news.follower || *news.follower == follower) {
+        if (!update.follower || *update.follower == follower) {
             this->node->send(follower, message);
         }
     }
@@ -203,7 +203,7 @@
 void LeaderLink::onLeader(const store_update::Leader &update)
 {
     if (this->isLeading && !update.isSelf) {
-        this->endLead();
+        this->endLeading();
     }
     this->isLeading = update.isSelf;
     this->route.onLeading(update.isSelf);
@@ -212,7 +212,7 @@
         if (this->leader) {
             this->node->disconnect(*this->leader);
             this->route.onLeaderLost(steadyNow());
-            this->setSeen(false);
+            this->setLeaderReachable(false);
             this->leader.reset();
         }
         this->leaderAddress = address;
@@ -220,27 +220,27 @@
             this->leader = this->node->connect(address);
         }
     }
-    this->steer(steadyNow());
+    this->applyRoute(steadyNow());
 }
 
 // News may arrive too late to be of use, and a leader that lost the store may have it again.
 void LeaderLink::onTick(Instant now)
 {
-    const bool isDue =
-        this->path == PlacingPath::Leader && !this->store->isRelayed() && now >= this->askedToFollow + askToFollowAgain;
+    const bool isDue = this->path == PlacingPath::Leader && !this->store->isRelayed()
+        && now >= this->lastFollowRequest + followRequestInterval;
     if (isDue) {
-        this->askedToFollow = now;
+        this->lastFollowRequest = now;
         this->node->send(*this->leader, peer::FollowStore{this->store->knownVersion()});
     }
-    this->steer(now);
+    this->applyRoute(now);
 }
 
 void LeaderLink::onOpened(LinkId link)
 {
     if (this->leader && link == *this->leader) {
         this->route.onLeaderReached();
-        this->setSeen(true);
-        this->askedToFollow = Instant();
+        this->setLeaderReachable(true);
+        this->lastFollowRequest = Instant();
         this->node->send(link, peer::FollowerAddress{this->ownAddress});
     } else if (this->isDeputyLink(link)) {
         this->route.onDeputyReached();
@@ -253,14 +253,14 @@
 {
     if (this->leader && link == *this->leader) {
         this->route.onLeaderLost(steadyNow());
-        this->setSeen(false);
+        this->setLeaderReachable(false);
     } else if (this->isDeputyLink(link)) {
         this->route.onDeputyLost(steadyNow());
     } else {
         this->followers.erase(link);
-        this->placedFor.erase(link);
+        this->placementClients.erase(link);
         this->deputies.remove(link);
-        this->nameDeputy();
+        this->announceDeputy();
         this->gates.onFollowerLost(link);
     }
 }
@@ -278,7 +278,7 @@
         this->onClosed(event.link);
         break;
     }
-    this->steer(steadyNow());
+    this->applyRoute(steadyNow());
 }
 
 void LeaderLink::onFollowerAddress(LinkId link, const std::string &address)
@@ -287,29 +287,29 @@
         this->deputies.remove(link);
     } else {
         this->deputies.add(link, address);
-        this->node->send(link, this->deputyNamed());
+        this->node->send(link, this->deputyAnnouncement());
     }
-    this->nameDeputy();
+    this->announceDeputy();
 }
 
 void LeaderLink::onMessage(LinkId link, const peer::Message &message)
 {
     const bool isFromLeader = this->leader && link == *this->leader;
     const bool isFromPlacer = isFromLeader || this->isDeputyLink(link);
-    if (!isFromPlacer && !this->isLeading && !this->isStandingIn) {
+    if (!isFromPlacer && !this->isLeading && !this->isActing) {
         this->node->send(link, peer::LeadEnded{});
         return;
     }
-    const GateKeeper::Send reply = [this, link](const peer::Message &answer) {
+    const PlacementGates::Send reply = [this, link](const peer::Message &answer) {
         this->node->send(link, answer);
     };
     std::visit(
-        Overloaded{[&](const peer::TryPlace &place) { this->gates.onTry(place); },
-                   [&](const peer::NoPlace &none) { this->gates.onNone(none); },
-                   [&](const peer::RegistryNews &news) { this->store->onNews(news); },
-                   [&](const peer::ConfigNews &news) {
+        Overloaded{[&](const peer::TryPlace &place) { this->gates.onPlacementOffered(place); },
+                   [&](const peer::NoPlace &none) { this->gates.onPlacementRejected(none); },
+                   [&](const peer::RegistryNews &update) { this->store->onUpdate(update); },
+                   [&](const peer::ConfigNews &update) {
                        if (isFromLeader) {
-                           this->store->onNews(news);
+                           this->store->onUpdate(update);
                        }
                    },
                    [&](const peer::ConfigDelayed &) {
@@ -326,11 +326,11 @@
                            this->route.onDeputyLost(steadyNow());
                        }
                    },
-                   [&](const peer::AskPlace &ask) { this->gates.onAsk(link, reply, ask); },
-                   [&](const peer::PlaceReport &report) { this->gates.onReport(link, report); },
+                   [&](const peer::AskPlace &request) { this->gates.onPlacementRequested(link, reply, request); },
+                   [&](const peer::PlaceReport &report) { this->gates.onPlacementReport(link, report); },
                    [&](const peer::HeldPlaces &held) {
-                       this->placedFor.insert(link);
-                       this->gates.onHeld(link, held);
+                       this->placementClients.insert(link);
+                       this->gates.onHeldPlacements(link, held);
                    },
                    [&](const peer::FollowerAddress &follower) { this->onFollowerAddress(link, follower.address); },
                    [&](const peer::DeputyNamed &named) {
--- a/programs/gateway/leaderlink.h
+++ b/programs/gateway/leaderlink.h
@@ -6,7 +6,7 @@
 //     link.value()->setStore(store);
 //     link.value()->onLeader(update);          // who leads, as the lease says
 
-#include "programs/gateway/gatekeeper.h"
+#include "programs/gateway/placementgates.h"
 #include "promise/deputychoice.h"
 #include "promise/placingroute.h"
 #include "wire/peernode.h"
@@ -28,9 +28,9 @@
     };
 
     static tl::expected<std::unique_ptr<LeaderLink>, WireError> create(asio::io_context &io, const Options &options,
-                                                                       GateKeeper &gates);
+                                                                       PlacementGates &gates);
     // Which follows the store; outlives the links.
-    void setStore(StoreDuty &duty)
+    void setStore(StoreWatcher &duty)
     {
         this->store = &duty;
     }
@@ -40,7 +40,7 @@
 
     void onLeader(const store_update::Leader &leader);
     // Hands it to one follower or to all.
-    void onNews(const store_update::News &news);
+    void onUpdate(const store_update::PeerUpdate &update);
     bool leads() const
     {
         return this->isLeading;
@@ -63,30 +63,30 @@
         peer::Message message;
     };
 
-    LeaderLink(asio::io_context &io, const std::string &ownAddress, GateKeeper &gates);
+    LeaderLink(asio::io_context &io, const std::string &ownAddress, PlacementGates &gates);
     void push(Event event);
     void drain();
     void on(const Event &event);
     void onMessage(LinkId link, const peer::Message &message);
     void onOpened(LinkId link);
     void onClosed(LinkId link);
-    void setSeen(bool isSeen);
+    void setLeaderReachable(bool isReachable);
     bool isDeputyLink(LinkId link) const;
     // Brings links and the gates in line with the route.
-    void steer(Instant now);
-    void takePath(PlacingPath next);
-    void nameDeputy();
-    peer::DeputyNamed deputyNamed() const;
+    void applyRoute(Instant now);
+    void switchPath(PlacingPath next);
+    void announceDeputy();
+    peer::DeputyNamed deputyAnnouncement() const;
     void onFollowerAddress(LinkId link, const std::string &address);
     void endPlacing();
-    void endLead();
+    void endLeading();
 
-    GateKeeper &gates;
-    StoreDuty *store = nullptr;
+    PlacementGates &gates;
+    StoreWatcher *store = nullptr;
     std::set<LinkId> followers; // links to this host while it leads
-    std::set<LinkId> placedFor; // hosts that this one places for
+    std::set<LinkId> placementClients; // hosts that this one places for
     DeputyChoice<LinkId> deputies;
-    std::string namedDeputy; // as the followers know it
+    std::string announcedDeputy; // as the followers know it
     std::string ownAddress;
     PlacingRoute route;
     struct DeputyLink {
@@ -97,13 +97,13 @@
     PlacingPath path = PlacingPath::Alone; // that the gates take
     std::optional<LinkId> uplink;
     std::uint64_t hosts = 1; // of the fleet, as the last leader said
-    bool isStandingIn = false;
+    bool isActing = false;
     Ring<Event> events;
     std::unique_ptr<PeerNode> node;
     std::optional<LinkId> leader; // the link to it, where this host follows
     std::string leaderAddress;
     bool isLeading = false;
-    Instant askedToFollow;
+    Instant lastFollowRequest;
 };
 
 } // namespace fescuesill
--- a/programs/gateway/gatekeeper.cpp
+++ b/programs/gateway/placementgates.cpp
@@ -6,7 +6,7 @@
 // place is known. If the leader is lost, those that wait with it are submitted here at once. Placing by two gates at
 // the same time costs refusals of engines, and no more: an engine never gives the same memory twice.
 
-#include "programs/gateway/gatekeeper.h"
+#include "programs/gateway/placementgates.h"
 
 #include "fescuesill/overloaded.h"
 #include "wire/clock.h"
@@ -52,14 +52,14 @@
 
 } // namespace
 
-GateKeeper::GateKeeper(asio::io_context &context, FleetView &view, std::uint64_t number)
+PlacementGates::PlacementGates(asio::io_context &context, FleetView &view, std::uint64_t number)
     : io(context)
     , fleet(view)
     , seed(number)
 {
 }
 
-GateKeeper::Gate &GateKeeper::gate(const ServiceId &service)
+PlacementGates::Gate &PlacementGates::gate(const ServiceId &service)
 {
     const auto [found, isNew] = this->gates.try_emplace(service, this->io, this->seed + this->gates.size());
     if (isNew) {
@@ -69,9 +69,9 @@
     return found->second;
 }
 
-void GateKeeper::refresh(const ServiceId &service, Gate &gate)
+void PlacementGates::refresh(const ServiceId &service, Gate &gate)
 {
-    const auto &config = this->fleet.inForce();
+    const auto &config = this->fleet.activeConfig();
     const ForwardedService *declared = config ? config->service(service) : nullptr;
     const bool generates = declared != nullptr && declared->engines;
     gate.core.setEngines(
@@ -79,7 +79,7 @@
     gate.core.setPrefillEngines(this->fleet.prefillPlaces(service));
 }
 
-void GateKeeper::onFleetChanged()
+void PlacementGates::onFleetChanged()
 {
     for (auto &[service, gate] : this->gates) {
         this->refresh(service, gate);
@@ -87,7 +87,7 @@
     }
 }
 
-std::size_t GateKeeper::waiting() const
+std::size_t PlacementGates::waiting() const
 {
     std::size_t sum = 0;
     for (const auto &[service, gate] : this->gates) {
@@ -96,7 +96,7 @@
     return sum;
 }
 
-std::size_t GateKeeper::placed() const
+std::size_t PlacementGates::placed() const
 {
     std::size_t sum = 0;
     for (const auto &[service, gate] : this->gates) {
@@ -105,13 +105,13 @@
     return sum;
 }
 
-std::optional<StageLoad> GateKeeper::stageLoad(const ServiceId &service) const
+std::optional<StageLoad> PlacementGates::stageLoad(const ServiceId &service) const
 {
     const auto found = this->gates.find(service);
     return found == this->gates.end() ? std::nullopt : found->second.core.stageLoad(steadyNow());
 }
 
-void GateKeeper::poll(Gate &gate)
+void PlacementGates::poll(Gate &gate)
 {
     for (const GateAction &action : gate.core.poll(steadyNow())) {
         logDecision(action, gate.core.view(steadyNow()), this->fleet);
@@ -120,7 +120,7 @@
     this->armTimer(gate);
 }
 
-void GateKeeper::armTimer(Gate &gate)
+void PlacementGates::armTimer(Gate &gate)
 {
     const auto wake = gate.core.nextWake(steadyNow());
     if (!wake) {
@@ -135,7 +135,7 @@
     });
 }
 
-void GateKeeper::decide(Local &local, const GateAction &action)
+void PlacementGates::decide(LocalGeneration &local, const GateAction &action)
 {
     local.isAtLeader = false;
     local.decision = action;
@@ -146,15 +146,15 @@
     local.timer.cancel();
 }
 
-void GateKeeper::deliver(const GateAction &action)
+void PlacementGates::deliver(const GateAction &action)
 {
     const RequestId &id = std::visit([](const auto &made) -> const RequestId & { return made.id; }, action);
-    if (const auto local = this->locals.find(id); local != this->locals.end()) {
+    if (const auto local = this->localGenerations.find(id); local != this->localGenerations.end()) {
         this->decide(*local->second, action);
         return;
     }
-    const auto remote = this->remotes.find(id);
-    if (remote == this->remotes.end()) {
+    const auto remote = this->remoteGenerations.find(id);
+    if (remote == this->remoteGenerations.end()) {
         return;
     }
     const Send reply = remote->second.reply;
@@ -163,41 +163,43 @@
         return;
     }
     reply(peer::NoPlace{id, std::get<RejectGeneration>(action).retryAfter});
-    this->remotes.erase(remote);
+    this->remoteGenerations.erase(remote);
 }
 
-void GateKeeper::submit(Local &local)
+void PlacementGates::submit(LocalGeneration &local)
 {
-    const GenerationAsk &ask = local.ask;
+    const GenerationAsk &request = local.request;
     const Instant now = steadyNow();
-    local.isAtLeader = this->uplink || this->isHeld;
-    if (this->isHeld) {
+    local.isAtLeader = this->uplink || this->isSuspended;
+    if (this->isSuspended) {
         return;
     }
     if (!this->uplink) {
         Gate &gate = this->gate(local.service);
-        gate.core.submit(ask, now);
+        gate.core.submit(request, now);
         this->poll(gate);
         return;
     }
-    this->uplink(peer::AskPlace{ask.id, local.service, static_cast<std::uint64_t>(std::max(0, ask.rank)), ask.prompt,
-                                ask.output, ask.mostOutput, now - ask.arrival, ask.onTimeUntil - now,
-                                ask.usefulUntil - now, ask.dataCentre, ask.avoid, ask.promptName});
+    this->uplink(peer::AskPlace{request.id, local.service, static_cast<std::uint64_t>(std::max(0, request.rank)),
+                                request.prompt, request.output, request.mostOutput, now - request.arrival,
+                                request.onTimeUntil - now, request.usefulUntil - now, request.dataCentre, request.avoid,
+                                request.promptName});
 }
 
-GateAction GateKeeper::ask(const ServiceId &service, const GenerationAsk &ask, const asio::yield_context &yield)
+GateAction PlacementGates::requestPlacement(const ServiceId &service, const GenerationAsk &request,
+                                            const asio::yield_context &yield)
 {
-    const auto local = std::make_shared<Local>(this->io);
+    const auto local = std::make_shared<LocalGeneration>(this->io);
     local->service = service;
-    local->ask = ask;
-    this->locals[ask.id] = local;
+    local->request = request;
+    this->localGenerations[request.id] = local;
     this->submit(*local);
-    return this->again(ask.id, yield);
+    return this->nextDecision(request.id, yield);
 }
 
-GateAction GateKeeper::again(const RequestId &id, const asio::yield_context &yield)
+GateAction PlacementGates::nextDecision(const RequestId &id, const asio::yield_context &yield)
 {
-    const auto local = this->locals.at(id);
+    const auto local = this->localGenerations.at(id);
     if (!local->decision) {
         boost::system::error_code ignored;
         local->timer.expires_at(std::chrono::steady_clock::time_point::max());
@@ -208,7 +210,7 @@
     return decision;
 }
 
-void GateKeeper::apply(Gate &gate, const RequestId &id, peer::PlaceEvent event, Tokens made)
+void PlacementGates::apply(Gate &gate, const RequestId &id, peer::PlaceEvent event, Tokens made)
 {
     const Instant now = steadyNow();
     switch (event) {
@@ -238,24 +240,24 @@
     this->poll(gate);
 }
 
-void GateKeeper::report(const ServiceId &service, const RequestId &id, peer::PlaceEvent event, Tokens made)
+void PlacementGates::report(const ServiceId &service, const RequestId &id, peer::PlaceEvent event, Tokens made)
 {
-    const auto found = this->locals.find(id);
-    if (found == this->locals.end()) {
+    const auto found = this->localGenerations.find(id);
+    if (found == this->localGenerations.end()) {
         return;
     }
     const auto local = found->second;
     const bool isRetry = event == peer::PlaceEvent::Full || event == peer::PlaceEvent::Fault;
     const bool isEnd = event == peer::PlaceEvent::Ended || event == peer::PlaceEvent::EndedByFault;
     if (isEnd) {
-        this->locals.erase(found);
+        this->localGenerations.erase(found);
     }
     Gate &gate = this->gate(service);
     if (this->uplink) {
         this->uplink(peer::PlaceReport{id, service, event, made});
     }
     if (event == peer::PlaceEvent::Reserved && this->uplink) {
-        gate.core.adopt(local->ask, local->engine, local->since);
+        gate.core.adopt(local->request, local->engine, local->since);
     } else {
         this->apply(gate, id, event, made);
     }
@@ -265,26 +267,26 @@
     }
 }
 
-void GateKeeper::wake(const RequestId &id)
+void PlacementGates::cancelWait(const RequestId &id)
 {
-    const auto found = this->locals.find(id);
-    if (found != this->locals.end()) {
+    const auto found = this->localGenerations.find(id);
+    if (found != this->localGenerations.end()) {
         found->second->timer.cancel();
     }
 }
 
-void GateKeeper::setUplink(Send send)
+void PlacementGates::setUplink(Send send)
 {
-    const bool wasElsewhere = this->uplink || this->isHeld;
-    this->isHeld = false;
+    const bool wasElsewhere = this->uplink || this->isSuspended;
+    this->isSuspended = false;
     this->uplink = std::move(send);
     if (this->uplink) {
         peer::HeldPlaces held;
         const Instant now = steadyNow();
-        for (const auto &[id, local] : this->locals) {
+        for (const auto &[id, local] : this->localGenerations) {
             if (!local->engine.isEmpty()) {
-                held.places.push_back({id, local->service, local->engine, local->ask.prompt, local->ask.output,
-                                       local->ask.mostOutput, now - local->since});
+                held.places.push_back({id, local->service, local->engine, local->request.prompt, local->request.output,
+                                       local->request.mostOutput, now - local->since});
             }
         }
         this->uplink(held);
@@ -292,20 +294,20 @@
     if (!wasElsewhere) {
         return;
     }
-    for (const auto &[id, local] : this->locals) {
+    for (const auto &[id, local] : this->localGenerations) {
         if (local->isAtLeader) {
             this->submit(*local);
         }
     }
 }
 
-void GateKeeper::hold()
+void PlacementGates::suspend()
 {
     this->uplink = {};
-    this->isHeld = true;
+    this->isSuspended = true;
 }
 
-void GateKeeper::setShare(double part)
+void PlacementGates::setShare(double part)
 {
     if (part == this->share) {
         return;
@@ -317,80 +319,80 @@
     }
 }
 
-void GateKeeper::onTry(const peer::TryPlace &message)
+void PlacementGates::onPlacementOffered(const peer::TryPlace &message)
 {
-    const auto found = this->locals.find(message.request);
-    if (found != this->locals.end() && found->second->isAtLeader) {
+    const auto found = this->localGenerations.find(message.request);
+    if (found != this->localGenerations.end() && found->second->isAtLeader) {
         this->decide(*found->second, TryReserve{message.request, message.engine, message.prefill, 0, Duration(0)});
     }
 }
 
-void GateKeeper::onNone(const peer::NoPlace &message)
+void PlacementGates::onPlacementRejected(const peer::NoPlace &message)
 {
-    const auto found = this->locals.find(message.request);
-    if (found != this->locals.end() && found->second->isAtLeader) {
+    const auto found = this->localGenerations.find(message.request);
+    if (found != this->localGenerations.end() && found->second->isAtLeader) {
         this->decide(*found->second, RejectGeneration{message.request, message.retryAfter, Duration(0)});
     }
 }
 
-void GateKeeper::onChanging(const peer::EngineChanging &message)
+void PlacementGates::onChanging(const peer::EngineChanging &message)
 {
     this->fleet.setChanging(EndpointId(message.engine.value()), steadyNow() + message.lasts);
     this->onFleetChanged();
 }
 
-void GateKeeper::onAsk(LinkId link, const Send &reply, const peer::AskPlace &message)
+void PlacementGates::onPlacementRequested(LinkId link, const Send &reply, const peer::AskPlace &message)
 {
     const Instant now = steadyNow();
-    GenerationAsk ask;
-    ask.id = message.request;
-    ask.rank = static_cast<int>(message.rank);
-    ask.prompt = message.prompt;
-    ask.output = message.output;
-    ask.mostOutput = message.mostOutput;
-    ask.arrival = now - message.waited;
-    ask.onTimeUntil = now + message.onTime;
-    ask.usefulUntil = now + message.useful;
-    ask.dataCentre = message.dataCentre;
-    ask.avoid = message.avoid;
-    ask.promptName = message.promptName;
-    this->remotes[ask.id] = Remote{link, message.service, reply};
+    GenerationAsk request;
+    request.id = message.request;
+    request.rank = static_cast<int>(message.rank);
+    request.prompt = message.prompt;
+    request.output = message.output;
+    request.mostOutput = message.mostOutput;
+    request.arrival = now - message.waited;
+    request.onTimeUntil = now + message.onTime;
+    request.usefulUntil = now + message.useful;
+    request.dataCentre = message.dataCentre;
+    request.avoid = message.avoid;
+    request.promptName = message.promptName;
+    this->remoteGenerations[request.id] = RemoteGeneration{link, message.service, reply};
     Gate &gate = this->gate(message.service);
-    gate.core.submit(ask, now);
+    gate.core.submit(request, now);
     this->poll(gate);
 }
 
-void GateKeeper::onReport(LinkId, const peer::PlaceReport &message)
+void PlacementGates::onPlacementReport(LinkId, const peer::PlaceReport &message)
 {
     this->apply(this->gate(message.service), message.request, message.event, message.made);
     if (message.event == peer::PlaceEvent::Ended || message.event == peer::PlaceEvent::EndedByFault) {
-        this->remotes.erase(message.request);
+        this->remoteGenerations.erase(message.request);
     }
 }
 
-void GateKeeper::onHeld(LinkId link, const peer::HeldPlaces &message)
+void PlacementGates::onHeldPlacements(LinkId link, const peer::HeldPlaces &message)
 {
     const Instant now = steadyNow();
     for (const peer::HeldPlace &place : message.places) {
-        GenerationAsk ask;
-        ask.id = place.request;
-        ask.prompt = place.prompt;
-        ask.output = place.output;
-        ask.mostOutput = place.mostOutput;
-        this->remotes[ask.id] = Remote{link, place.service, {}};
-        this->gate(place.service).core.adopt(ask, place.engine, now - place.age);
+        GenerationAsk request;
+        request.id = place.request;
+        request.prompt = place.prompt;
+        request.output = place.output;
+        request.mostOutput = place.mostOutput;
+        this->remoteGenerations[request.id] = RemoteGeneration{link, place.service, {}};
+        this->gate(place.service).core.adopt(request, place.engine, now - place.age);
     }
 }
 
 // Its generations are taken for ended: where the host died, engines drop them with its connections, and where only the
 // link broke it says again what it holds.
-void GateKeeper::onFollowerLost(LinkId link)
+void PlacementGates::onFollowerLost(LinkId link)
 {
-    for (auto remote = this->remotes.begin(); remote != this->remotes.end();) {
+    for (auto remote = this->remoteGenerations.begin(); remote != this->remoteGenerations.end();) {
         const auto current = remote++;
         if (current->second.link == link) {
             this->gate(current->second.service).core.onEnded(current->first, false, Tokens(0), steadyNow());
-            this->remotes.erase(current);
+            this->remoteGenerations.erase(current);
         }
     }
     for (auto &[service, gate] : this->gates) {
--- a/programs/gateway/gatekeeper.h
+++ b/programs/gateway/placementgates.h
@@ -2,12 +2,12 @@
 
 // Lets generations wait for places: those of this host, and where this host leads those of all others.
 //
-//     GateKeeper keeper(io, fleet, seed);
+//     PlacementGates keeper(io, fleet, seed);
 //     const GateAction action = keeper.ask(service, ask, yield);     // waits until there is a place to try, or none
 //     keeper.report(service, id, peer::PlaceEvent::Full);            // the same generation asks again
 //     const GateAction next = keeper.again(id, yield);
 //     keeper.setUplink([&](const peer::Message &message) { ... });   // the leader, or its deputy, is another host
-//     keeper.hold();                                                 // it was lost, and a deputy may take over soon
+//     gates.suspend();                                                 // it was lost, and a deputy may take over soon
 //     keeper.setUplink({});                                          // there is none: this host decides alone
 //
 // Every host keeps a gate of the generations that it runs itself, so it can decide alone at any moment: then it sees
@@ -23,21 +23,22 @@
 namespace fescuesill
 {
 
-class GateKeeper
+class PlacementGates
 {
 public:
     using Send = std::function<void(const peer::Message &)>;
 
-    GateKeeper(asio::io_context &io, FleetView &fleet, std::uint64_t seed);
+    PlacementGates(asio::io_context &io, FleetView &fleet, std::uint64_t seed);
 
     // Submits and waits. Ends with RejectGeneration too where the caller went while it waited.
-    GateAction ask(const ServiceId &service, const GenerationAsk &ask, const asio::yield_context &yield);
+    GateAction requestPlacement(const ServiceId &service, const GenerationAsk &request,
+                                const asio::yield_context &yield);
     // Waits for the next decision after a place that was full or failed.
-    GateAction again(const RequestId &id, const asio::yield_context &yield);
+    GateAction nextDecision(const RequestId &id, const asio::yield_context &yield);
     // What became of the place of a generation of this host.
     void report(const ServiceId &service, const RequestId &id, peer::PlaceEvent event, Tokens made = Tokens(0));
     // The caller went: a wait ends at once.
-    void wake(const RequestId &id);
+    void cancelWait(const RequestId &id);
     // Engines came, left or changed.
     void onFleetChanged();
     // Over all services.
@@ -53,23 +54,23 @@
     // Towards the leader; empty where there is none to be reached.
     void setUplink(Send send);
     // Nobody places now: generations wait for the next setUplink().
-    void hold();
+    void suspend();
     // The part of the engines' memory that this host may fill.
     void setShare(double share);
-    void onTry(const peer::TryPlace &message);
-    void onNone(const peer::NoPlace &message);
+    void onPlacementOffered(const peer::TryPlace &message);
+    void onPlacementRejected(const peer::NoPlace &message);
     void onChanging(const peer::EngineChanging &message);
 
     // From a host that follows this one.
-    void onAsk(LinkId link, const Send &reply, const peer::AskPlace &message);
-    void onReport(LinkId link, const peer::PlaceReport &message);
-    void onHeld(LinkId link, const peer::HeldPlaces &message);
+    void onPlacementRequested(LinkId link, const Send &reply, const peer::AskPlace &message);
+    void onPlacementReport(LinkId link, const peer::PlaceReport &message);
+    void onHeldPlacements(LinkId link, const peer::HeldPlaces &message);
     void onFollowerLost(LinkId link);
 
 private:
     // One generation of this host, from its ask to its end.
-    struct Local {
-        explicit Local(asio::io_context &io)
+    struct LocalGeneration {
+        explicit LocalGeneration(asio::io_context &io)
             : timer(io)
         {
         }
@@ -77,13 +78,13 @@
         asio::steady_timer timer;
         std::optional<GateAction> decision;
         ServiceId service;
-        GenerationAsk ask;
+        GenerationAsk request;
         EngineId engine; // its place; empty while it waits
         Instant since;
         bool isAtLeader = false; // the leader was asked and has not decided
     };
     // One generation of another host that this one leads.
-    struct Remote {
+    struct RemoteGeneration {
         LinkId link{};
         ServiceId service;
         Send reply;
@@ -104,18 +105,19 @@
     void poll(Gate &gate);
     void armTimer(Gate &gate);
     void deliver(const GateAction &action);
-    void decide(Local &local, const GateAction &action);
-    void submit(Local &local);
+    void decide(LocalGeneration &local, const GateAction &action);
+    void submit(LocalGeneration &local);
     void apply(Gate &gate, const RequestId &id, peer::PlaceEvent event, Tokens made);
 
     asio::io_context &io;
     FleetView &fleet;
     std::uint64_t seed;
     std::map<ServiceId, Gate> gates; // of the generating services that the configuration names or named
-    std::unordered_map<RequestId, std::shared_ptr<Local>> locals; // bounded by the callers' connections
-    std::unordered_map<RequestId, Remote> remotes; // by those of all hosts
+    std::unordered_map<RequestId, std::shared_ptr<LocalGeneration>>
+        localGenerations; // bounded by the callers' connections
+    std::unordered_map<RequestId, RemoteGeneration> remoteGenerations; // by those of all hosts
     Send uplink;
-    bool isHeld = false;
+    bool isSuspended = false;
     double share = 1;
 };
 
--- a/programs/gateway/plainforward.cpp
+++ b/programs/gateway/plainforward.cpp
@@ -19,9 +19,9 @@
 {
 
 // A full endpoint has some two dozen calls of 15 ms before its slots, which drain in under this.
-constexpr Duration comeBackWhenFull{100ms};
-constexpr Duration comeBackWhenNone{1s}; // no endpoint at all: they come and go within seconds
-constexpr int mostConnects = 4; // endpoints that could not be reached, one after the other
+constexpr Duration retryAfterWhenFull{100ms};
+constexpr Duration retryAfterWhenNone{1s}; // no endpoint at all: they come and go within seconds
+constexpr int maxConnectAttempts = 4; // endpoints that could not be reached, one after the other
 constexpr int firstServerError = 500;
 
 } // namespace
@@ -51,7 +51,7 @@
     return std::min(left, this->call.route.target * 2 / 3);
 }
 
-PlainForward::Sent PlainForward::send(const EndpointRecord &endpoint, const asio::yield_context &yield)
+PlainForward::SendResult PlainForward::send(const EndpointRecord &endpoint, const asio::yield_context &yield)
 {
     EndpointPicker &picker = this->call.services.fleet.picker();
     const Instant begin = steadyNow();
@@ -68,18 +68,18 @@
     } catch (const HttpError &error) {
         this->lastFault = error.what();
         ended(EndpointOutcome::Failed);
-        return error.isKnownNotSent() ? Sent::NeverSent : Sent::Lost;
+        return error.isKnownNotSent() ? SendResult::NeverSent : SendResult::Lost;
     }
     AnswerHead head = readAnswerHead(response, this->call.head.id);
-    if (head.saysNotRun) {
+    if (head.reportsNotRun) {
         this->lastFault = "the endpoint did not take it";
         ended(EndpointOutcome::Full);
-        return Sent::SaidNotRun;
+        return SendResult::ReportedNotRun;
     }
     if (!head.isForThisCall || head.isEncoded) {
         this->lastFault = "not the answer to this call";
         ended(EndpointOutcome::Failed);
-        return Sent::Lost;
+        return SendResult::Lost;
     }
     const bool isError = head.status >= firstServerError;
     if (isError) {
@@ -87,10 +87,10 @@
     }
     ended(isError ? EndpointOutcome::ErrorAnswer : EndpointOutcome::Answered);
     this->answered = Answer{endpoint.id, std::move(response), std::move(head)};
-    return Sent::Answered;
+    return SendResult::Answered;
 }
 
-std::optional<NoRetry> PlainForward::claimRetry(Sent sent)
+std::optional<NoRetry> PlainForward::claimRetry(SendResult sent)
 {
     if (this->abort.isAborted()) {
         return NoRetry::CallerGone;
@@ -98,13 +98,13 @@
     if (this->call.timeLeft() <= 0ms) {
         return NoRetry::NoTime;
     }
-    if (sent == Sent::NeverSent) {
-        const bool mayConnect = this->tried.size() < static_cast<std::size_t>(mostConnects);
+    if (sent == SendResult::NeverSent) {
+        const bool mayConnect = this->tried.size() < static_cast<std::size_t>(maxConnectAttempts);
         return mayConnect ? std::nullopt : std::optional(NoRetry::Attempts);
     }
     const bool isFailure =
-        sent == Sent::Lost || (sent == Sent::Answered && this->answered->head.status >= firstServerError);
-    if (sent == Sent::Answered && !isFailure) {
+        sent == SendResult::Lost || (sent == SendResult::Answered && this->answered->head.status >= firstServerError);
+    if (sent == SendResult::Answered && !isFailure) {
         return NoRetry::None;
     }
     if (isFailure && this->call.route.kind != CallKind::Repeatable) {
@@ -135,7 +135,7 @@
     this->call.reply.forward(answer.head.status, answer.response.body, answer.head.headers, yield);
 }
 
-void PlainForward::refuse(Sent last, const asio::yield_context &yield)
+void PlainForward::refuse(SendResult last, const asio::yield_context &yield)
 {
     if (this->mayHaveRun) {
         const bool isLate = this->call.timeLeft() <= 0ms;
@@ -144,12 +144,12 @@
                           this->noRetry, yield);
         return;
     }
-    const Duration comeBack = last == Sent::SaidNotRun ? comeBackWhenFull : comeBackWhenNone;
+    const Duration retryAfter = last == SendResult::ReportedNotRun ? retryAfterWhenFull : retryAfterWhenNone;
     const std::string reason = this->lastFault.empty() ? "no endpoint takes calls" : this->lastFault;
-    this->call.refuse({RefusalCode::Overloaded, RunState::NotRun, reason, comeBack}, this->noRetry, yield);
+    this->call.refuse({RefusalCode::Overloaded, RunState::NotRun, reason, retryAfter}, this->noRetry, yield);
 }
 
-void PlainForward::logGone() const
+void PlainForward::logCallerGone() const
 {
     const auto &patience = this->call.head.patience;
     Log::info("caller_gone",
@@ -164,12 +164,12 @@
                {"took_ms", (steadyNow() - this->call.arrival).count() / 1000}});
 }
 
-void PlainForward::finish(Sent last, const asio::yield_context &yield)
+void PlainForward::finish(SendResult last, const asio::yield_context &yield)
 {
     this->call.reply.onGone({});
     if (this->abort.isAborted()) {
         this->call.services.metrics.onPlainEnd("caller_gone", steadyNow() - this->call.arrival);
-        this->logGone();
+        this->logCallerGone();
         throw CallerGone();
     }
     if (this->answered) {
@@ -184,15 +184,15 @@
 {
     this->call.reply.onGone([this] { this->abort.abort(); });
     this->call.services.fleet.budget(this->call.service).onSuccess();
-    Sent last = Sent::NeverSent;
+    SendResult last = SendResult::NeverSent;
     while (const auto endpoint = this->choose(steadyNow())) {
         this->tried.push_back(endpoint->id);
         if (this->sends > 0) {
             this->call.services.metrics.onRetry();
         }
         last = this->send(*endpoint, yield);
-        this->sends += last == Sent::NeverSent ? 0 : 1;
-        this->mayHaveRun = this->mayHaveRun || last == Sent::Lost;
+        this->sends += last == SendResult::NeverSent ? 0 : 1;
+        this->mayHaveRun = this->mayHaveRun || last == SendResult::Lost;
         if (const auto reason = this->claimRetry(last)) {
             this->noRetry = *reason;
             break;
--- a/programs/gateway/plainforward.h
+++ b/programs/gateway/plainforward.h
@@ -21,22 +21,22 @@
 
 private:
     // What became of one send.
-    enum class Sent {
+    enum class SendResult {
         Answered,
         NeverSent,
-        SaidNotRun,
+        ReportedNotRun,
         Lost, // may have run
     };
 
     std::optional<EndpointRecord> choose(Instant now);
-    Sent send(const EndpointRecord &endpoint, const asio::yield_context &yield);
+    SendResult send(const EndpointRecord &endpoint, const asio::yield_context &yield);
     // Takes a retry from the budget; or why there may be none.
-    std::optional<NoRetry> claimRetry(Sent sent);
+    std::optional<NoRetry> claimRetry(SendResult sent);
     Duration tryLimit() const;
-    void finish(Sent last, const asio::yield_context &yield);
+    void finish(SendResult last, const asio::yield_context &yield);
     void answer(const asio::yield_context &yield);
-    void refuse(Sent last, const asio::yield_context &yield);
-    void logGone() const;
+    void refuse(SendResult last, const asio::yield_context &yield);
+    void logCallerGone() const;
 
     const ForwardedCall &call;
     CallAbort abort;
--- a/programs/gateway/recentrows.cpp
+++ b/programs/gateway/recentrows.cpp
@@ -22,13 +22,13 @@
     }
     this->rows.insert(this->rows.end(), changed.begin(), changed.end());
     this->newest = std::max(this->newest, version);
-    while (this->rows.size() > mostRows) {
+    while (this->rows.size() > maxRows) {
         this->since = static_cast<std::int64_t>(this->rows.front().version);
         this->rows.pop_front();
     }
 }
 
-bool RecentRows::reaches(std::int64_t version) const
+bool RecentRows::covers(std::int64_t version) const
 {
     return version >= this->since && version <= this->newest;
 }
@@ -36,13 +36,13 @@
 peer::RegistryNews RecentRows::after(std::int64_t version) const
 {
     const auto first = static_cast<std::uint64_t>(version);
-    peer::RegistryNews news{first, static_cast<std::uint64_t>(this->newest), {}};
+    peer::RegistryNews update{first, static_cast<std::uint64_t>(this->newest), {}};
     for (const peer::RegistryRow &row : this->rows) {
         if (row.version > first) {
-            news.rows.push_back(row);
+            update.rows.push_back(row);
         }
     }
-    return news;
+    return update;
 }
 
 } // namespace fescuesill
--- a/programs/gateway/recentrows.h
+++ b/programs/gateway/recentrows.h
@@ -5,7 +5,7 @@
 //     RecentRows recent;
 //     recent.restart(version);                  // the table was read whole at that version of the store
 //     recent.add(rows, before, version);        // what changed after `before`, up to `version`
-//     if (recent.reaches(has)) { send(recent.after(has)); }
+//     if (recent.covers(has)) { send(recent.after(has)); }
 //
 // Load: all hosts of a large fleet link to a new leader at once. Harm prevented: it sends each of them the whole table;
 // at 300 hosts and 3,000 endpoints that took 90 MB of its memory, and the platform killed it.
@@ -23,12 +23,12 @@
 {
 public:
     // Some 300 bytes each; a follower is behind by a second or two, in which a fleet of thousands changes some hundred.
-    static constexpr std::size_t mostRows = 500;
+    static constexpr std::size_t maxRows = 500;
 
     void restart(std::int64_t version);
     void add(const std::vector<peer::RegistryRow> &rows, std::int64_t before, std::int64_t version);
     // Whether all that changed after that version is here; not for one that is too far behind, or ahead.
-    bool reaches(std::int64_t version) const;
+    bool covers(std::int64_t version) const;
     peer::RegistryNews after(std::int64_t version) const;
 
 private:
--- a/programs/gateway/stageorders.cpp
+++ b/programs/gateway/stageorders.cpp
@@ -16,12 +16,12 @@
 {
 
 constexpr Duration orderLimit{500ms}; // one short call
-constexpr Duration settle{200ms}; // for reads that were on their way to the engine when it was announced
-constexpr Duration latestEffect{12s}; // of an order that got no answer
-constexpr Duration leastPause{15s}; // until an engine is ordered again
-constexpr Duration beyondChange{2s}; // until the registry shows it, and work that still runs there
+constexpr Duration announcementDelay{200ms}; // for reads that were on their way to the engine when it was announced
+constexpr Duration maxOrderDelay{12s}; // of an order that got no answer
+constexpr Duration minOrderInterval{15s}; // until an engine is ordered again
+constexpr Duration changeMargin{2s}; // until the registry shows it, and work that still runs there
 // An engine that crashed is back within seconds, and a pool that lost it for good is no shorter for waiting so long.
-constexpr Duration missedFor{10s};
+constexpr Duration missingLimit{10s};
 
 } // namespace
 
@@ -29,18 +29,18 @@
 {
     const auto ordered = service.ordered.find(engine.id);
     return ordered != service.ordered.end() && ordered->second.to != engine.part
-        && now < ordered->second.at + leastPause;
+        && now < ordered->second.at + minOrderInterval;
 }
 
-void StageOrders::onTick(const StoreDuty &store, Instant now)
+void StageOrders::onTick(const StoreWatcher &store, Instant now)
 {
-    const auto &config = this->services.fleet.inForce();
-    if (!config || !store.mayOrder()) {
+    const auto &config = this->services.fleet.activeConfig();
+    if (!config || !store.fencingForOrder()) {
         return;
     }
     for (const auto &[id, service] : config->services) {
         if (service.engines) {
-            this->consider(id, *service.engines, store, now);
+            this->planService(id, *service.engines, store, now);
         }
     }
 }
@@ -54,10 +54,10 @@
         }
     }
     for (auto seen = service.seen.begin(); seen != service.seen.end();) {
-        seen = now >= seen->second.at + missedFor ? service.seen.erase(seen) : std::next(seen);
+        seen = now >= seen->second.at + missingLimit ? service.seen.erase(seen) : std::next(seen);
     }
     for (auto order = service.ordered.begin(); order != service.ordered.end();) {
-        order = now >= order->second.at + leastPause ? service.ordered.erase(order) : std::next(order);
+        order = now >= order->second.at + minOrderInterval ? service.ordered.erase(order) : std::next(order);
     }
 }
 
@@ -79,7 +79,7 @@
     return PoolNeed{load->prefillEngines, load->heldTokens / static_cast<double>(traits.memory.value())};
 }
 
-void StageOrders::consider(const ServiceId &id, const EngineTraits &traits, const StoreDuty &store, Instant now)
+void StageOrders::planService(const ServiceId &id, const EngineTraits &traits, const StoreWatcher &store, Instant now)
 {
     Service &service = this->plans.try_emplace(id, Service{PoolPlan(PoolPlan::Options{}), {}, {}}).first->second;
     this->recordEngines(id, service, now);
@@ -134,9 +134,9 @@
 }
 
 void StageOrders::order(const EndpointRecord &engine, EndpointPart part, const EngineTraits &traits,
-                        const StoreDuty &store)
+                        const StoreWatcher &store)
 {
-    const Duration lasts = traits.stageChange + beyondChange;
+    const Duration lasts = traits.stageChange + changeMargin;
     startCoroutine(this->services.io, [this, engine, part, lasts, &store](const asio::yield_context &yield) {
         try {
             this->sendOrder(engine, part, lasts, store, yield);
@@ -146,7 +146,7 @@
     });
 }
 
-void StageOrders::sendOrder(const EndpointRecord &engine, EndpointPart part, Duration lasts, const StoreDuty &store,
+void StageOrders::sendOrder(const EndpointRecord &engine, EndpointPart part, Duration lasts, const StoreWatcher &store,
                             const asio::yield_context &yield)
 {
     HttpClient &client = this->services.client;
@@ -157,11 +157,11 @@
         return;
     }
     const EngineId id(engine.id.value());
-    this->announce({id, lasts + latestEffect});
+    this->announce({id, lasts + maxOrderDelay});
     boost::system::error_code ignored;
-    asio::steady_timer timer(this->services.io, settle);
+    asio::steady_timer timer(this->services.io, announcementDelay);
     timer.async_wait(yield[ignored]);
-    const auto fencing = store.mayOrder();
+    const auto fencing = store.fencingForOrder();
     if (!fencing) {
         Log::info("stage_order_withheld", {{"engine", engine.id.value()}, {"reason", "the lease ended"}});
         this->announce({id, Duration(0)});
@@ -173,9 +173,9 @@
     Log::info("stage_ordered",
               {{"engine", engine.id.value()},
                {"fencing", fencing->value()},
-               {"taken", isOrderTaken(response)},
+               {"taken", isOrderAccepted(response)},
                {"status", response.status}});
-    this->announce({id, isOrderTaken(response) ? lasts : Duration(0)});
+    this->announce({id, isOrderAccepted(response) ? lasts : Duration(0)});
 }
 
 } // namespace fescuesill
--- a/programs/gateway/stageorders.h
+++ b/programs/gateway/stageorders.h
@@ -24,7 +24,7 @@
     {
     }
 
-    void onTick(const StoreDuty &store, Instant now);
+    void onTick(const StoreWatcher &store, Instant now);
 
 private:
     // An engine that was ordered to change and does not show it in the registry yet.
@@ -39,18 +39,18 @@
     struct Service {
         PoolPlan plan;
         std::map<EndpointId, Order> ordered;
-        std::map<std::string, Seen> seen; // by address: engines that take work or did so within `missedFor`
+        std::map<std::string, Seen> seen; // by address: engines that take work or did so within `missingLimit`
     };
 
     static bool isPending(const Service &service, const EndpointRecord &engine, Instant now);
-    void consider(const ServiceId &id, const EngineTraits &traits, const StoreDuty &store, Instant now);
+    void planService(const ServiceId &id, const EngineTraits &traits, const StoreWatcher &store, Instant now);
     void recordEngines(const ServiceId &id, Service &service, Instant now) const;
     static PoolSizes sizes(const Service &service);
     std::optional<PoolNeed> need(const ServiceId &id, const EngineTraits &traits) const;
     std::optional<EndpointRecord> chooseEngine(const ServiceId &id, EndpointPart from, const Service &service,
                                                Instant now) const;
-    void order(const EndpointRecord &engine, EndpointPart part, const EngineTraits &traits, const StoreDuty &store);
-    void sendOrder(const EndpointRecord &engine, EndpointPart part, Duration lasts, const StoreDuty &store,
+    void order(const EndpointRecord &engine, EndpointPart part, const EngineTraits &traits, const StoreWatcher &store);
+    void sendOrder(const EndpointRecord &engine, EndpointPart part, Duration lasts, const StoreWatcher &store,
                    const asio::yield_context &yield);
 
     const GatewayServices &services;
--- a/programs/gateway/storeduty.cpp
+++ b/programs/gateway/storewatcher.cpp
@@ -10,7 +10,7 @@
 // that is late; waiting longer would leave this host unaware of a leaving endpoint for longer than its callers can
 // bear.
 
-#include "programs/gateway/storeduty.h"
+#include "programs/gateway/storewatcher.h"
 
 #include "platform/configrow.h"
 #include "platform/registryrow.h"
@@ -32,7 +32,7 @@
 constexpr Duration pauseAfterFault{250ms}; // a store that refuses is asked four times a second by each table
 constexpr Duration leaderWait{500ms}; // a quarter of the time within which a change must be in force everywhere
 constexpr Duration relayedPause{10s}; // ended by whatever ends the relay
-constexpr std::size_t mostNewFollowers = 4096; // hosts of a fleet that link to a new leader at the same moment
+constexpr std::size_t maxNewFollowers = 4096; // hosts of a fleet that link to a new leader at the same moment
 constexpr Duration pauseWhenFull{5ms}; // the forwarding thread drains its ring in well under that
 
 constexpr const char *leaseTable = "leases";
@@ -56,7 +56,7 @@
 
 } // namespace
 
-StoreDuty::StoreDuty(Options given, Ring<StoreUpdate> &ring)
+StoreWatcher::StoreWatcher(Options given, Ring<StoreUpdate> &ring)
     : options(std::move(given))
     , updates(ring)
     , config(this->io)
@@ -73,12 +73,12 @@
     this->thread = std::thread([this] { this->io.run(); });
 }
 
-StoreDuty::~StoreDuty()
+StoreWatcher::~StoreWatcher()
 {
     this->stop();
 }
 
-void StoreDuty::stop()
+void StoreWatcher::stop()
 {
     this->isStopping = true;
     this->io.stop();
@@ -88,7 +88,7 @@
 }
 
 // A ring that is full is a moment's matter: the other side drains it without waiting for anything.
-void StoreDuty::push(const StoreUpdate &update)
+void StoreWatcher::push(const StoreUpdate &update)
 {
     while (!this->isStopping) {
         StoreUpdate offered = update;
@@ -99,7 +99,7 @@
     }
 }
 
-void StoreDuty::tell(bool isLost, Table table, const std::string &reason)
+void StoreWatcher::reportAvailability(bool isLost, Table table, const std::string &reason)
 {
     const char *name = nameOf(table == Table::Config);
     if (isLost) {
@@ -108,31 +108,31 @@
         Log::info("store_back", {{"table", name}});
     }
     if (isLost && this->isLeading()) {
-        this->push(store_update::News{peer::StoreLost{}, std::nullopt});
+        this->push(store_update::PeerUpdate{peer::StoreLost{}, std::nullopt});
     }
     if (table == Table::Registry) {
-        this->push(isLost ? StoreUpdate(store_update::Lost{}) : StoreUpdate(store_update::Back{}));
+        this->push(isLost ? StoreUpdate(store_update::Lost{}) : StoreUpdate(store_update::Restored{}));
     }
 }
 
-bool StoreDuty::isLeading() const
+bool StoreWatcher::isLeading() const
 {
     return this->leadership.isLastHolder();
 }
 
-void StoreDuty::waitFor(Followed &table, Duration time, const asio::yield_context &yield)
+void StoreWatcher::waitFor(FollowedTable &table, Duration time, const asio::yield_context &yield)
 {
     boost::system::error_code ignored;
-    table.pause.expires_after(time);
-    table.pause.async_wait(yield[ignored]);
+    table.pauseTimer.expires_after(time);
+    table.pauseTimer.async_wait(yield[ignored]);
 }
 
-void StoreDuty::follow(Table table, const asio::yield_context &yield)
+void StoreWatcher::follow(Table table, const asio::yield_context &yield)
 {
     StoreClient store(this->io, {this->options.address, replyLimit});
-    Followed &followed = this->of(table);
+    FollowedTable &followed = this->stateOf(table);
     while (!this->isStopping) {
-        followed.asked = steadyNow();
+        followed.readStart = steadyNow();
         try {
             this->followOnce(table, store, yield);
             continue;
@@ -150,31 +150,31 @@
 }
 
 // A long reply may take seconds on the leader's link, in which all others would wait for it.
-void StoreDuty::beginRead(Table table, Duration expected)
+void StoreWatcher::beginRead(Table table, Duration expected)
 {
-    Followed &followed = this->of(table);
+    FollowedTable &followed = this->stateOf(table);
     followed.isReading = true;
-    followed.slow.expires_after(expected);
-    followed.slow.async_wait([this, table](const boost::system::error_code &error) {
+    followed.slowTimer.expires_after(expected);
+    followed.slowTimer.async_wait([this, table](const boost::system::error_code &error) {
         if (!error) {
             this->onSlowRead(table);
         }
     });
 }
 
-void StoreDuty::endRead(Table table)
+void StoreWatcher::endRead(Table table)
 {
-    Followed &followed = this->of(table);
+    FollowedTable &followed = this->stateOf(table);
     followed.isReading = false;
     followed.isSlow = false;
-    followed.slow.cancel();
+    followed.slowTimer.cancel();
 }
 
-void StoreDuty::onSlowRead(Table table)
+void StoreWatcher::onSlowRead(Table table)
 {
-    Followed &followed = this->of(table);
+    FollowedTable &followed = this->stateOf(table);
     // The read may have ended, and the next one begun, between the timer's expiry and this call.
-    if (!followed.isReading || asio::steady_timer::clock_type::now() < followed.slow.expiry()) {
+    if (!followed.isReading || asio::steady_timer::clock_type::now() < followed.slowTimer.expiry()) {
         return;
     }
     followed.isSlow = true;
@@ -184,27 +184,27 @@
     Log::info("store_read_slow", {{"table", nameOf(table == Table::Config)}});
     const peer::Message message =
         table == Table::Config ? peer::Message(peer::ConfigDelayed{}) : peer::Message(peer::StoreLost{});
-    this->push(store_update::News{message, std::nullopt});
+    this->push(store_update::PeerUpdate{message, std::nullopt});
 }
 
-void StoreDuty::onReadFailed(Table table, const StoreError &error)
+void StoreWatcher::onReadFailed(Table table, const StoreError &error)
 {
-    Followed &followed = this->of(table);
+    FollowedTable &followed = this->stateOf(table);
     ++followed.failures;
     Log::info("store_read_failed",
               {{"table", nameOf(table == Table::Config)},
                {"in_a_row", followed.failures},
-               {"took_ms", (steadyNow() - followed.asked).count() / 1000},
+               {"took_ms", (steadyNow() - followed.readStart).count() / 1000},
                {"reason", error.what()}});
     if (!followed.isLost) {
         followed.isLost = true;
-        this->tell(true, table, error.what());
+        this->reportAvailability(true, table, error.what());
     }
 }
 
-void StoreDuty::followOnce(Table table, StoreClient &store, const asio::yield_context &yield)
+void StoreWatcher::followOnce(Table table, StoreClient &store, const asio::yield_context &yield)
 {
-    Followed &followed = this->of(table);
+    FollowedTable &followed = this->stateOf(table);
     if (followed.isRelayed) {
         this->waitFor(followed, relayedPause, yield);
         return;
@@ -213,14 +213,14 @@
     const bool isWhole = !followed.version;
     // The leader learns of a silent connection sooner, since all others wait for it.
     const Duration wait =
-        this->isLeading() ? std::min(leaderWait, this->options.contact / 2) : this->options.contact / 2;
+        this->isLeading() ? std::min(leaderWait, this->options.contactLimit / 2) : this->options.contactLimit / 2;
     this->beginRead(table, isWhole ? replyLimit : wait + replyLimit);
     const StoreRows read = isWhole ? store.list(name, yield) : store.follow(name, *followed.version, wait, yield);
     this->endRead(table);
     followed.failures = 0;
     if (followed.isLost) {
         followed.isLost = false;
-        this->tell(false, table, {});
+        this->reportAvailability(false, table, {});
     }
     if (followed.isRelayed && read.version < followed.version.value_or(0)) {
         return; // the leader's news overtook this reply
@@ -230,22 +230,22 @@
     this->takeRows(table, read.rows, isWhole, before);
 }
 
-void StoreDuty::setRelayed(Table table, bool isRelayed)
+void StoreWatcher::setRelayed(Table table, bool isRelayed)
 {
-    Followed &followed = this->of(table);
+    FollowedTable &followed = this->stateOf(table);
     if (followed.isRelayed != isRelayed) {
         Log::info("store_relayed", {{"table", nameOf(table == Table::Config)}, {"relayed", isRelayed}});
         followed.isRelayed = isRelayed;
-        followed.pause.cancel();
+        followed.pauseTimer.cancel();
         this->relayed = this->registry.isRelayed;
     }
 }
 
-void StoreDuty::takeRows(Table table, const std::vector<StoreRow> &rows, bool isWhole, std::int64_t before)
+void StoreWatcher::takeRows(Table table, const std::vector<StoreRow> &rows, bool isWhole, std::int64_t before)
 {
     if (table == Table::Registry) {
         this->registryRead = steadyNow().time_since_epoch().count();
-        this->remember(rows, before, isWhole);
+        this->recordRecentRows(rows, before, isWhole);
     }
     if (table == Table::Registry && isWhole) {
         this->takeList(rows);
@@ -255,13 +255,13 @@
         }
     }
     if (table == Table::Registry) {
-        this->handOn(rows, before);
+        this->forwardToFollowers(rows, before);
     }
     this->known = static_cast<std::uint64_t>(this->registry.version.value_or(0));
-    this->welcomeFollowers();
+    this->updateNewFollowers();
 }
 
-void StoreDuty::remember(const std::vector<StoreRow> &rows, std::int64_t before, bool isWhole)
+void StoreWatcher::recordRecentRows(const std::vector<StoreRow> &rows, std::int64_t before, bool isWhole)
 {
     if (isWhole) {
         this->recent.restart(*this->registry.version);
@@ -275,16 +275,16 @@
     this->recent.add(changed, before, *this->registry.version);
 }
 
-void StoreDuty::handOn(const std::vector<StoreRow> &rows, std::int64_t before)
+void StoreWatcher::forwardToFollowers(const std::vector<StoreRow> &rows, std::int64_t before)
 {
-    if (this->isLeading() && !rows.empty() && this->recent.reaches(before)) {
-        this->push(store_update::News{this->recent.after(before), std::nullopt});
+    if (this->isLeading() && !rows.empty() && this->recent.covers(before)) {
+        this->push(store_update::PeerUpdate{this->recent.after(before), std::nullopt});
     }
 }
 
 // A follower has read the whole table itself and is handed what came since. One that is behind what is kept here, or
 // ahead of this host, goes on reading the store and asks again.
-void StoreDuty::welcomeFollowers()
+void StoreWatcher::updateNewFollowers()
 {
     const bool isBehind = this->registry.isLost || this->config.isLost || this->registry.isSlow || this->config.isSlow;
     if (!this->isLeading() || !this->registry.version || isBehind) {
@@ -292,68 +292,68 @@
     }
     for (const auto &[link, version] : std::exchange(this->newFollowers, {})) {
         const auto has = static_cast<std::int64_t>(version);
-        if (!this->recent.reaches(has)) {
+        if (!this->recent.covers(has)) {
             continue;
         }
-        this->push(store_update::News{this->recent.after(has), link});
-        this->push(store_update::News{this->configSummary(), link});
+        this->push(store_update::PeerUpdate{this->recent.after(has), link});
+        this->push(store_update::PeerUpdate{this->configSummary(), link});
     }
 }
 
-void StoreDuty::addFollower(LinkId link, std::uint64_t version)
+void StoreWatcher::addFollower(LinkId link, std::uint64_t version)
 {
     asio::post(this->io, [this, link, version] {
-        if (this->newFollowers.size() < mostNewFollowers) {
+        if (this->newFollowers.size() < maxNewFollowers) {
             this->newFollowers[link] = version;
         }
-        this->welcomeFollowers();
+        this->updateNewFollowers();
     });
 }
 
-void StoreDuty::onNews(const peer::RegistryNews &news)
+void StoreWatcher::onUpdate(const peer::RegistryNews &update)
 {
-    asio::post(this->io, [this, news] {
+    asio::post(this->io, [this, update] {
         const std::int64_t has = this->registry.version.value_or(-1);
-        if (static_cast<std::int64_t>(news.after) > has) {
+        if (static_cast<std::int64_t>(update.after) > has) {
             this->setRelayed(Table::Registry, false); // something between is missing; LeaderLink asks for it
             return;
         }
         std::vector<StoreRow> rows;
-        for (const peer::RegistryRow &row : news.rows) {
+        for (const peer::RegistryRow &row : update.rows) {
             const auto version = static_cast<std::int64_t>(row.version);
             if (version > has) { // an older one would bring endpoints back that have left
                 rows.push_back({row.key, row.value, version, row.isRemoved});
             }
         }
-        this->registry.version = std::max(has, static_cast<std::int64_t>(news.version));
+        this->registry.version = std::max(has, static_cast<std::int64_t>(update.version));
         if (this->registry.isLost) {
             this->registry.isLost = false;
-            this->tell(false, Table::Registry, {});
+            this->reportAvailability(false, Table::Registry, {});
         }
         this->setRelayed(Table::Registry, true);
         this->takeRows(Table::Registry, rows, false, has);
     });
 }
 
-void StoreDuty::onNews(const peer::ConfigNews &news)
+void StoreWatcher::onUpdate(const peer::ConfigNews &update)
 {
-    asio::post(this->io, [this, news] {
-        const ConfigReplica::NewsOutcome outcome = this->replica.takeNews(news);
-        if (outcome == ConfigReplica::NewsOutcome::Applied) {
+    asio::post(this->io, [this, update] {
+        const ConfigReplica::UpdateOutcome outcome = this->replica.takeUpdate(update);
+        if (outcome == ConfigReplica::UpdateOutcome::Applied) {
             this->config.version = std::max(this->config.version.value_or(0), this->replica.row().value());
             this->push(store_update::Config{this->replica.config()});
         }
-        const bool isRowNeeded = outcome == ConfigReplica::NewsOutcome::RowNeeded;
+        const bool isRowNeeded = outcome == ConfigReplica::UpdateOutcome::RowNeeded;
         if (isRowNeeded) {
             this->config.version.reset(); // read it whole, then rest again
         }
         // takeConfig() sets this again after the read; until then the table is followed from here.
         this->setRelayed(Table::Config, !isRowNeeded);
-        this->configAtLeader = RowVersion(static_cast<std::int64_t>(news.rowVersion));
+        this->configAtLeader = RowVersion(static_cast<std::int64_t>(update.rowVersion));
     });
 }
 
-void StoreDuty::onConfigDelayed()
+void StoreWatcher::onConfigDelayed()
 {
     asio::post(this->io, [this] {
         this->setRelayed(Table::Config, false);
@@ -361,7 +361,7 @@
     });
 }
 
-void StoreDuty::onLeaderLostStore()
+void StoreWatcher::onLeaderLostStore()
 {
     asio::post(this->io, [this] {
         this->setRelayed(Table::Config, false);
@@ -370,19 +370,19 @@
     });
 }
 
-void StoreDuty::setLeaderSeen(bool isSeen)
+void StoreWatcher::setLeaderReachable(bool isReachable)
 {
-    asio::post(this->io, [this, isSeen] {
-        this->leadership.onLeaderSeen(isSeen);
-        this->mustTell = !isSeen; // also where the same host leads again
+    asio::post(this->io, [this, isReachable] {
+        this->leadership.onLeaderSeen(isReachable);
+        this->mustReportLeader = !isReachable; // also where the same host leads again
         this->leadTimer.cancel();
     });
-    if (!isSeen) {
+    if (!isReachable) {
         this->onLeaderLostStore();
     }
 }
 
-void StoreDuty::release()
+void StoreWatcher::release()
 {
     asio::post(this->io, [this] {
         this->leadership.release();
@@ -391,35 +391,35 @@
 }
 
 // The forwarding thread is told where this changes for it: another holder, or this host's lease begun or over.
-void StoreDuty::tellLeader()
+void StoreWatcher::reportLeader()
 {
     const auto &row = this->leadership.holder();
     store_update::Leader now{row && !row->host.isEmpty() ? row : std::nullopt, this->isLeading(),
                              this->leadership.version()};
-    const bool isSameHolder = now.holder.has_value() == this->told.holder.has_value()
-        && (!now.holder || now.holder->isSameHolder(*this->told.holder));
-    if (isSameHolder && now.isSelf == this->told.isSelf) {
+    const bool isSameHolder = now.holder.has_value() == this->reportedLeader.holder.has_value()
+        && (!now.holder || now.holder->isSameHolder(*this->reportedLeader.holder));
+    if (isSameHolder && now.isSelf == this->reportedLeader.isSelf) {
         return;
     }
     Log::info(
         "leader_changed",
         {{"leader", now.holder ? now.holder->host.value() : ""}, {"self", now.isSelf}, {"lease", now.term.value()}});
-    this->told = now;
+    this->reportedLeader = now;
     this->push(now);
 }
 
-Duration StoreDuty::registryAge() const
+Duration StoreWatcher::registryAge() const
 {
     return steadyNow() - Instant(Duration(this->registryRead));
 }
 
-std::optional<FencingNumber> StoreDuty::mayOrder() const
+std::optional<FencingNumber> StoreWatcher::fencingForOrder() const
 {
     const bool isAllowed = bootNow().time_since_epoch().count() < this->ordersUntil;
     return isAllowed ? std::optional(FencingNumber(this->orderFencing)) : std::nullopt;
 }
 
-void StoreDuty::leadOnce(StoreClient &store, const asio::yield_context &yield)
+void StoreWatcher::leadOnce(StoreClient &store, const asio::yield_context &yield)
 {
     const LeadershipAction action = this->leadership.next(bootNow());
     if (const auto *write = std::get_if<leadership_action::WriteLease>(&action)) {
@@ -439,16 +439,16 @@
         return;
     }
     const auto row = store.read(leaseTable, leaseKey, yield);
-    if (this->mustTell) {
-        this->mustTell = false;
-        this->told = {};
+    if (this->mustReportLeader) {
+        this->mustReportLeader = false;
+        this->reportedLeader = {};
     }
     const auto lease = row ? decodeLeaseRow(row->value) : tl::make_unexpected(LeaseRowError{"no row"});
     this->leadership.onRead(lease ? std::optional(*lease) : std::nullopt, RowVersion(row ? row->version : 0),
                             bootNow());
 }
 
-void StoreDuty::lead(const asio::yield_context &yield)
+void StoreWatcher::lead(const asio::yield_context &yield)
 {
     StoreClient store(this->io, {this->options.address, replyLimit});
     while (!this->isStopping) {
@@ -462,11 +462,11 @@
         // The number before the permission: whoever sees the permission sees its number.
         this->orderFencing = this->leadership.version().value();
         this->ordersUntil = until ? until->time_since_epoch().count() : 0;
-        this->tellLeader();
+        this->reportLeader();
     }
 }
 
-void StoreDuty::takeList(const std::vector<StoreRow> &rows)
+void StoreWatcher::takeList(const std::vector<StoreRow> &rows)
 {
     store_update::Listed listed;
     for (const StoreRow &row : rows) {
@@ -480,7 +480,7 @@
     this->push(std::move(listed));
 }
 
-void StoreDuty::takeRow(Table table, const StoreRow &row)
+void StoreWatcher::takeRow(Table table, const StoreRow &row)
 {
     if (table == Table::Config) {
         if (row.key == configKey && !row.isRemoved) {
@@ -502,14 +502,14 @@
     this->push(store_update::Changed{std::move(*record)});
 }
 
-std::shared_ptr<const RoutingConfig> StoreDuty::decodeConfig(const StoreRow &row)
+std::shared_ptr<const RoutingConfig> StoreWatcher::decodeConfig(const StoreRow &row)
 {
     const Instant read = steadyNow();
     auto decoded = decodeConfigRow(row.value);
     Log::info("config_read",
               {{"row", row.version},
                {"bytes", static_cast<std::int64_t>(row.value.size())},
-               {"took_ms", (read - this->config.asked).count() / 1000},
+               {"took_ms", (read - this->config.readStart).count() / 1000},
                {"decode_ms", (steadyNow() - read).count() / 1000}});
     if (!decoded) {
         Log::error("config_unreadable", {{"row", row.version}, {"reason", decoded.error().text}});
@@ -518,12 +518,12 @@
     return std::make_shared<const RoutingConfig>(std::move(*decoded));
 }
 
-peer::ConfigNews StoreDuty::configSummary() const
+peer::ConfigNews StoreWatcher::configSummary() const
 {
     return {static_cast<std::uint64_t>(this->replica.row().value()), 0, {}};
 }
 
-void StoreDuty::takeConfig(const StoreRow &row)
+void StoreWatcher::takeConfig(const StoreRow &row)
 {
     std::optional<ConfigStep> step;
     if (const RowVersion version(row.version); version > this->replica.row()) {
@@ -533,7 +533,7 @@
         this->push(store_update::Config{step->config});
     }
     if (this->isLeading()) {
-        this->push(store_update::News{step ? newsOf(*step) : this->configSummary(), std::nullopt});
+        this->push(store_update::PeerUpdate{step ? updateOf(*step) : this->configSummary(), std::nullopt});
     }
     if (this->configAtLeader && this->replica.row() >= *this->configAtLeader) {
         this->setRelayed(Table::Config, true); // the leader will notify of the next version
--- a/programs/gateway/storeduty.h
+++ b/programs/gateway/storewatcher.h
@@ -2,7 +2,7 @@
 
 // The thread that follows the users' store and tells the forwarding thread what changed.
 //
-//     StoreDuty duty({settings.store, settings.contact}, ring);
+//     StoreWatcher duty({settings.store, settings.contactLimit}, ring);
 //     ... ring.tryPop() on the other side ...
 //     duty.stop();
 
@@ -50,49 +50,49 @@
     RowVersion term; // of the lease
 };
 // For the hosts that follow this one; of the leader only.
-struct News {
+struct PeerUpdate {
     peer::Message message;
     std::optional<LinkId> follower; // all where empty
 };
 // The registry can't be read, and can be read again.
 struct Lost {
 };
-struct Back {
+struct Restored {
 };
 } // namespace store_update
 
 using StoreUpdate =
     std::variant<store_update::Config, store_update::Listed, store_update::Changed, store_update::Removed,
-                 store_update::Lost, store_update::Back, store_update::Leader, store_update::News>;
+                 store_update::Lost, store_update::Restored, store_update::Leader, store_update::PeerUpdate>;
 
 class StoreClient;
 class StoreError;
 struct StoreRow;
 
-class StoreDuty
+class StoreWatcher
 {
 public:
     struct Options {
         std::string address;
-        Duration contact{3s};
+        Duration contactLimit{3s};
         LeaseRow self; // under which this host may lead; an empty address: it never does
         Duration lease{3s};
     };
 
-    StoreDuty(Options options, Ring<StoreUpdate> &updates);
-    ~StoreDuty();
-    StoreDuty(const StoreDuty &) = delete;
-    StoreDuty &operator=(const StoreDuty &) = delete;
+    StoreWatcher(Options options, Ring<StoreUpdate> &updates);
+    ~StoreWatcher();
+    StoreWatcher(const StoreWatcher &) = delete;
+    StoreWatcher &operator=(const StoreWatcher &) = delete;
 
     void stop();
     // All safe on any thread.
     // Whether this host hears from the leader.
-    void setLeaderSeen(bool isSeen);
+    void setLeaderReachable(bool isReachable);
     // This host stops: it leads no more.
     void release();
     // The leader hands on changes: this host reads the store itself only where the leader cannot.
-    void onNews(const peer::RegistryNews &news);
-    void onNews(const peer::ConfigNews &news);
+    void onUpdate(const peer::RegistryNews &update);
+    void onUpdate(const peer::ConfigNews &update);
     void onConfigDelayed();
     void onLeaderLostStore();
     // A host that follows this one has all up to a version.
@@ -100,7 +100,7 @@
     // Since the registry was last read, or its news came, by this thread.
     Duration registryAge() const;
     // With which number this host may give orders now; none where it may not. Asked right before each order.
-    std::optional<FencingNumber> mayOrder() const;
+    std::optional<FencingNumber> fencingForOrder() const;
     // Whether the leader hands on the registry's changes.
     bool isRelayed() const
     {
@@ -119,25 +119,25 @@
     };
 
     // One table as this host has it.
-    struct Followed {
-        Followed(asio::io_context &io)
-            : pause(io)
-            , slow(io)
+    struct FollowedTable {
+        FollowedTable(asio::io_context &io)
+            : pauseTimer(io)
+            , slowTimer(io)
         {
         }
 
         std::optional<std::int64_t> version; // all changes up to it are here
         bool isLost = false;
         int failures = 0; // reads in a row
-        Instant asked; // when the last read began; one that follows also waits for a change
+        Instant readStart; // when the last read began; one that follows also waits for a change
         bool isRelayed = false; // the leader hands on its changes
         bool isReading = false;
         bool isSlow = false; // the read that is under way
-        asio::steady_timer pause;
-        asio::steady_timer slow;
+        asio::steady_timer pauseTimer;
+        asio::steady_timer slowTimer;
     };
 
-    Followed &of(Table table)
+    FollowedTable &stateOf(Table table)
     {
         return table == Table::Config ? this->config : this->registry;
     }
@@ -147,7 +147,7 @@
     void endRead(Table table);
     void onSlowRead(Table table);
     void onReadFailed(Table table, const StoreError &error);
-    void waitFor(Followed &table, Duration time, const asio::yield_context &yield);
+    void waitFor(FollowedTable &table, Duration time, const asio::yield_context &yield);
     void setRelayed(Table table, bool isRelayed);
     void takeRows(Table table, const std::vector<StoreRow> &rows, bool isWhole, std::int64_t before);
     void takeRow(Table table, const StoreRow &row);
@@ -155,15 +155,15 @@
     std::shared_ptr<const RoutingConfig> decodeConfig(const StoreRow &row);
     peer::ConfigNews configSummary() const;
     void takeList(const std::vector<StoreRow> &rows);
-    void handOn(const std::vector<StoreRow> &rows, std::int64_t before);
-    void remember(const std::vector<StoreRow> &rows, std::int64_t before, bool isWhole);
-    void welcomeFollowers();
+    void forwardToFollowers(const std::vector<StoreRow> &rows, std::int64_t before);
+    void recordRecentRows(const std::vector<StoreRow> &rows, std::int64_t before, bool isWhole);
+    void updateNewFollowers();
     bool isLeading() const;
     void push(const StoreUpdate &update);
-    void tell(bool isLost, Table table, const std::string &reason);
+    void reportAvailability(bool isLost, Table table, const std::string &reason);
     void lead(const asio::yield_context &yield);
     void leadOnce(StoreClient &store, const asio::yield_context &yield);
-    void tellLeader();
+    void reportLeader();
 
     Options options;
     Ring<StoreUpdate> &updates;
@@ -175,16 +175,16 @@
     std::atomic<std::int64_t> ordersUntil{0}; // microseconds of the clock that counts suspension
     std::atomic<std::int64_t> orderFencing{0};
     // Of the duty's own thread, like all below.
-    Followed config;
-    Followed registry;
+    FollowedTable config;
+    FollowedTable registry;
     RecentRows recent; // of the registry, for followers that are a little behind
     ConfigReplica replica;
     std::optional<RowVersion> configAtLeader; // the newest row that the leader notified of
     std::map<LinkId, std::uint64_t> newFollowers; // not answered yet, with the version that each has
     Leadership leadership;
     asio::steady_timer leadTimer;
-    store_update::Leader told;
-    bool mustTell = false; // at the next read of the lease, whoever holds it
+    store_update::Leader reportedLeader;
+    bool mustReportLeader = false; // at the next read of the lease, whoever holds it
     std::thread thread;
 };
 
--- a/programs/gateway/testing/configreplica_test.cpp
+++ b/programs/gateway/testing/configreplica_test.cpp
@@ -46,13 +46,13 @@
 }
 
 // What a leader that reads these rows one after the other sends to its followers.
-std::vector<peer::ConfigNews> newsOfLeader(const std::vector<std::pair<std::int64_t, Config>> &rows)
+std::vector<peer::ConfigNews> updatesOfLeader(const std::vector<std::pair<std::int64_t, Config>> &rows)
 {
     ConfigReplica leader;
     std::vector<peer::ConfigNews> sent;
     for (const auto &[row, config] : rows) {
         if (const auto step = leader.takeRow(RowVersion(row), config)) {
-            sent.push_back(newsOf(*step));
+            sent.push_back(updateOf(*step));
         }
     }
     return sent;
@@ -61,38 +61,38 @@
 TEST(ConfigReplica, TakesASmallChangeFromTheLeader)
 {
     const Config first = configWith(11, 3000);
-    const auto sent = newsOfLeader({{40, first}, {44, configWith(14, 3001)}});
+    const auto sent = updatesOfLeader({{40, first}, {44, configWith(14, 3001)}});
     EXPECT_TRUE(sent[0].change.empty());
     EXPECT_FALSE(sent[1].change.empty());
     EXPECT_LT(sent[1].change.size(), 200U);
     ConfigReplica follower;
-    EXPECT_EQ(follower.takeNews(sent[0]), ConfigReplica::NewsOutcome::RowNeeded);
+    EXPECT_EQ(follower.takeUpdate(sent[0]), ConfigReplica::UpdateOutcome::RowNeeded);
     follower.takeRow(RowVersion(40), first);
-    EXPECT_EQ(follower.takeNews(sent[1]), ConfigReplica::NewsOutcome::Applied);
+    EXPECT_EQ(follower.takeUpdate(sent[1]), ConfigReplica::UpdateOutcome::Applied);
     EXPECT_EQ(follower.config()->version, ConfigVersion(14));
     EXPECT_EQ(follower.config()->routes.all().size(), 3001U);
-    EXPECT_EQ(follower.takeNews(sent[1]), ConfigReplica::NewsOutcome::Known);
-    EXPECT_EQ(follower.takeNews(sent[0]), ConfigReplica::NewsOutcome::Known);
+    EXPECT_EQ(follower.takeUpdate(sent[1]), ConfigReplica::UpdateOutcome::Known);
+    EXPECT_EQ(follower.takeUpdate(sent[0]), ConfigReplica::UpdateOutcome::Known);
 }
 
 TEST(ConfigReplica, HasALargeChangeReadFromTheStore)
 {
-    const auto sent = newsOfLeader({{40, configWith(11, 10)}, {44, configWith(14, 5000)}});
+    const auto sent = updatesOfLeader({{40, configWith(11, 10)}, {44, configWith(14, 5000)}});
     EXPECT_TRUE(sent[1].change.empty());
     ConfigReplica follower;
     follower.takeRow(RowVersion(40), configWith(11, 10));
-    EXPECT_EQ(follower.takeNews(sent[1]), ConfigReplica::NewsOutcome::RowNeeded);
+    EXPECT_EQ(follower.takeUpdate(sent[1]), ConfigReplica::UpdateOutcome::RowNeeded);
 }
 
 // Guards against a host that reads a large row for so long that the next change has come, and then reads it all again.
 TEST(ConfigReplica, AppliesAChangeThatOvertookTheRowItLeadsOnFrom)
 {
     const Config large = configWith(14, 5000);
-    const auto sent = newsOfLeader({{40, configWith(11, 10)}, {44, large}, {48, configWith(18, 5001)}});
+    const auto sent = updatesOfLeader({{40, configWith(11, 10)}, {44, large}, {48, configWith(18, 5001)}});
     ConfigReplica follower;
     follower.takeRow(RowVersion(40), configWith(11, 10));
-    follower.takeNews(sent[1]);
-    EXPECT_EQ(follower.takeNews(sent[2]), ConfigReplica::NewsOutcome::RowNeeded);
+    follower.takeUpdate(sent[1]);
+    EXPECT_EQ(follower.takeUpdate(sent[2]), ConfigReplica::UpdateOutcome::RowNeeded);
     const auto step = follower.takeRow(RowVersion(44), large);
     ASSERT_TRUE(step);
     EXPECT_EQ(step->config->version, ConfigVersion(18));
@@ -116,16 +116,16 @@
     EXPECT_FALSE(replica.takeRow(RowVersion(44), nullptr));
     EXPECT_EQ(replica.row(), RowVersion(44));
     EXPECT_EQ(replica.config()->version, ConfigVersion(11));
-    const auto sent = newsOfLeader({{40, configWith(11, 2)}, {44, nullptr}, {48, configWith(18, 3)}});
-    EXPECT_EQ(replica.takeNews(sent[1]), ConfigReplica::NewsOutcome::Applied);
+    const auto sent = updatesOfLeader({{40, configWith(11, 2)}, {44, nullptr}, {48, configWith(18, 3)}});
+    EXPECT_EQ(replica.takeUpdate(sent[1]), ConfigReplica::UpdateOutcome::Applied);
 }
 
 TEST(ConfigReplica, RefusesAChangeOfAnotherBase)
 {
-    const auto sent = newsOfLeader({{40, configWith(11, 2)}, {44, configWith(14, 3)}});
+    const auto sent = updatesOfLeader({{40, configWith(11, 2)}, {44, configWith(14, 3)}});
     ConfigReplica replica;
     replica.takeRow(RowVersion(40), configWith(12, 7));
-    EXPECT_EQ(replica.takeNews(sent[1]), ConfigReplica::NewsOutcome::RowNeeded);
+    EXPECT_EQ(replica.takeUpdate(sent[1]), ConfigReplica::UpdateOutcome::RowNeeded);
     EXPECT_EQ(replica.config()->version, ConfigVersion(12));
 }
 
@@ -159,7 +159,7 @@
                 continue;
             }
             const auto step = replica.takeRow(RowVersion(version), config);
-            sent.push_back(step ? newsOf(*step) : peer::ConfigNews{static_cast<std::uint64_t>(version), 0, {}});
+            sent.push_back(step ? updateOf(*step) : peer::ConfigNews{static_cast<std::uint64_t>(version), 0, {}});
         }
     }
     ConfigReplica follower;
@@ -177,14 +177,14 @@
             const auto read = std::next(rows.begin(), *rc::gen::inRange<int>(0, static_cast<int>(rows.size())));
             follower.takeRow(RowVersion(read->first), read->second);
         } else {
-            follower.takeNews(sent[*rc::gen::inRange<std::size_t>(0, sent.size())]);
+            follower.takeUpdate(sent[*rc::gen::inRange<std::size_t>(0, sent.size())]);
         }
         RC_ASSERT(!(follower.row() < before));
         check();
     }
     const auto &last = *rows.rbegin();
-    const peer::ConfigNews lastNews{static_cast<std::uint64_t>(last.first), 0, {}};
-    if (follower.takeNews(lastNews) == ConfigReplica::NewsOutcome::RowNeeded) {
+    const peer::ConfigNews lastUpdate{static_cast<std::uint64_t>(last.first), 0, {}};
+    if (follower.takeUpdate(lastUpdate) == ConfigReplica::UpdateOutcome::RowNeeded) {
         follower.takeRow(RowVersion(last.first), last.second);
     }
     RC_ASSERT(follower.row() == RowVersion(last.first));
--- a/programs/gateway/testing/recentrows_test.cpp
+++ b/programs/gateway/testing/recentrows_test.cpp
@@ -47,38 +47,38 @@
         states[version] = leader;
     }
     for (const auto &[has, state] : states) {
-        if (!recent.reaches(has)) {
+        if (!recent.covers(has)) {
             continue;
         }
         Table follower = state;
-        const auto news = recent.after(has);
-        for (const peer::RegistryRow &row : news.rows) {
+        const auto update = recent.after(has);
+        for (const peer::RegistryRow &row : update.rows) {
             change(follower, row);
         }
         RC_ASSERT(follower == leader);
-        RC_ASSERT(news.version == static_cast<std::uint64_t>(version));
+        RC_ASSERT(update.version == static_cast<std::uint64_t>(version));
     }
-    RC_ASSERT(recent.reaches(version));
-    RC_ASSERT(!recent.reaches(version + 1));
+    RC_ASSERT(recent.covers(version));
+    RC_ASSERT(!recent.covers(version + 1));
 }
 
 TEST(RecentRows, ServesNobodyThatIsTooFarBehind)
 {
     RecentRows recent;
     recent.restart(10);
-    EXPECT_FALSE(recent.reaches(9));
-    EXPECT_TRUE(recent.reaches(10));
-    for (std::int64_t version = 11; version <= 10 + static_cast<std::int64_t>(RecentRows::mostRows) + 3; ++version) {
+    EXPECT_FALSE(recent.covers(9));
+    EXPECT_TRUE(recent.covers(10));
+    for (std::int64_t version = 11; version <= 10 + static_cast<std::int64_t>(RecentRows::maxRows) + 3; ++version) {
         const std::vector<peer::RegistryRow> row = {
             peer::RegistryRow{static_cast<std::uint64_t>(version), "e", "", false}};
         recent.add(row, version - 1, version);
     }
-    EXPECT_FALSE(recent.reaches(10));
-    EXPECT_FALSE(recent.reaches(12));
-    EXPECT_TRUE(recent.reaches(13));
-    EXPECT_EQ(recent.after(13).rows.size(), RecentRows::mostRows);
+    EXPECT_FALSE(recent.covers(10));
+    EXPECT_FALSE(recent.covers(12));
+    EXPECT_TRUE(recent.covers(13));
+    EXPECT_EQ(recent.after(13).rows.size(), RecentRows::maxRows);
     recent.restart(2000);
-    EXPECT_FALSE(recent.reaches(13));
+    EXPECT_FALSE(recent.covers(13));
     EXPECT_TRUE(recent.after(2000).rows.empty());
 }
 
