--- a/programs/gateway/configreplica.cpp
+++ b/programs/gateway/configreplica.cpp
@@ -1,9 +1,9 @@
-// A change applies to the one row that it was made from, and its result is compared with the digest of the row that it
-// leads to. So a host is at one row of the store or at another, never between two, whatever news it missed, got twice
-// or late. Only later rows are taken, so nothing reverts.
+// A change applies only to the row that it was computed from, and its result is compared with the digest of the target
+// row. The replica therefore always equals exactly one row of the store, even if updates are lost, duplicated or late.
+// Only later rows are accepted, so the configuration never reverts.
 //
-// News may overtake a read of the row that it leads on from: a large row takes seconds on a slow link. Such a change
-// waits for the row, which then need not be read once more.
+// An update may arrive before the read of its base row completes, because a large row takes seconds on a slow link.
+// Such a change is kept until the base row has been read, so that the row need not be read a second time.
 
 #include "programs/gateway/configreplica.h"
 
@@ -15,7 +15,7 @@
 namespace
 {
 
-// More routes are read from the store, which has more room on its links than a leader has on its own.
+// Larger changes are read from the store, whose links have more bandwidth than the leader's.
 constexpr std::size_t mostChangedRoutes = 500;
 
 std::uint64_t numberOf(RowVersion row)
--- a/programs/gateway/configreplica.h
+++ b/programs/gateway/configreplica.h
@@ -1,13 +1,13 @@
 #pragma once
 
-// The routing configuration as one host has it, brought from row to row by reads of the store or by the leader's news.
+// One host's copy of the routing configuration, kept current by reads of the store and by updates from the leader.
 //
 //     ConfigReplica replica;
 //     if (const auto step = replica.takeRow(row, decoded)) {        // read from the store
 //         use(step->config);
-//         send(updateOf(*step));                                      // on the leader, to its followers
+//         send(updateOf(*step));                                // on the leader, to its followers
 //     }
-//     if (replica.takeUpdate(news) == ConfigReplica::UpdateOutcome::RowNeeded) { ... read the row ... }
+//     if (replica.takeUpdate(update) == ConfigReplica::UpdateOutcome::RowNeeded) { ... read the row ... }
 
 #include "decide/routingconfig.h"
 #include "wire/messages.h"
@@ -19,7 +19,7 @@
 namespace fescuesill
 {
 
-// From one row of the store to a later one. `before` is null for the first.
+// The step from one row of the store to a later one. `before` is null for the first row.
 struct ConfigStep {
     RowVersion beforeRow;
     std::shared_ptr<const RoutingConfig> before;
@@ -27,21 +27,22 @@
     std::shared_ptr<const RoutingConfig> config;
 };
 
-// The row, and the change that leads to it where that is small.
+// The message for followers: the row's version, and the change from the previous row if that is small.
 peer::ConfigNews updateOf(const ConfigStep &step);
 
 class ConfigReplica
 {
 public:
-    static constexpr std::size_t maxPendingChanges = 16; // changes that wait for the row that they lead on from
+    static constexpr std::size_t maxPendingChanges = 16; // changes whose base row has not been read yet
 
     enum class UpdateOutcome {
-        Known, // this host has that row, or a later one
+        Known, // this host already has that row or a later one
         Applied,
-        RowNeeded, // it has to be read from the store
+        RowNeeded, // the row must be read from the store
     };
 
-    // A row as it was read, null where it could not be decoded. None where this host had it, or has nothing new by it.
+    // Takes a row that was read; `decoded` is null if the row could not be decoded. Returns nothing if the row is not
+    // newer than the last one or could not be decoded.
     std::optional<ConfigStep> takeRow(RowVersion row, std::shared_ptr<const RoutingConfig> decoded);
     UpdateOutcome takeUpdate(const peer::ConfigNews &update);
 
@@ -49,7 +50,7 @@
     {
         return this->held;
     }
-    // The newest row that was read or reached by a change, also where it could not be decoded.
+    // The newest row that was read or reached by a change, even if it could not be decoded.
     RowVersion row() const
     {
         return this->newestRow;
@@ -57,7 +58,7 @@
 
 private:
     struct PendingChange {
-        RowVersion row; // that the change leads to
+        RowVersion row; // the row that results from the change
         std::string change;
     };
 
@@ -67,7 +68,7 @@
     std::shared_ptr<const RoutingConfig> held;
     RowVersion heldRow;
     RowVersion newestRow;
-    std::map<RowVersion, PendingChange> pendingChanges; // by the row that each leads on from
+    std::map<RowVersion, PendingChange> pendingChanges; // by base row
 };
 
 } // namespace fescuesill
--- a/programs/gateway/fleetview.cpp
+++ b/programs/gateway/fleetview.cpp
@@ -14,8 +14,8 @@
 {
 }
 
-// Versions arrive from one row, but a read that was under way may end after a newer one: the older is ignored, so what
-// is in force here never goes back.
+// A read that was already running may complete after a newer one. The older configuration is ignored, so the active
+// configuration never reverts.
 void FleetView::takeConfig(const std::shared_ptr<const RoutingConfig> &read)
 {
     if (this->config != nullptr && read->version <= this->config->version) {
@@ -52,7 +52,7 @@
                    [&](const store_update::Lost &) { this->registry.onStoreLost(now); },
                    [&](const store_update::Restored &) { this->registry.onStoreBack(now); },
                    [&](const auto &) {
-                   }}, // of the links
+                   }}, // handled by LeaderLink
         update);
 }
 
--- a/programs/gateway/fleetview.h
+++ b/programs/gateway/fleetview.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// What a gateway knows of routes and endpoints, and the decisions that rest on it. Used by the forwarding thread alone.
+// The gateway's view of routes and endpoints, with the state of the decisions based on it. Used only by the forwarding
+// thread.
 //
 //     FleetView fleet(dataCentre, budgetOptions, seed);
 //     fleet.apply(update, now);
@@ -22,19 +23,19 @@
     FleetView(DataCentreId dataCentre, const RetryBudget::Options &retries, std::uint64_t seed);
 
     void apply(const StoreUpdate &update, Instant now);
-    // A configuration and a list of endpoints have been read since the start.
+    // Whether a configuration and a list of endpoints have been read since the start.
     bool isInitialised() const
     {
         return this->config != nullptr && this->hasEndpointList;
     }
-    // In force here; null before the first.
+    // The configuration in force on this host; null before the first one.
     const std::shared_ptr<const RoutingConfig> &activeConfig() const
     {
         return this->config;
     }
 
-    // Which state of the registry this is: all changes up to that version of the store, and since when. For the log: it
-    // is what each choice of an endpoint was made by.
+    // Sets the version of the store up to which all registry changes are known here, and records when it changed. It is
+    // logged, to show which state each choice of an endpoint was based on.
     void setRegistryVersion(std::uint64_t version, Instant now);
     std::uint64_t registryVersion() const
     {
@@ -50,10 +51,11 @@
     std::vector<PrefillPlace> prefillPlaces(const ServiceId &service) const;
     std::vector<DecodePlaces> decodePlaces(const ServiceId &service, const EngineTraits &traits) const;
     std::vector<EndpointRecord> enginesOf(const ServiceId &service, EndpointPart part) const;
-    // The endpoint as it is now; empty where it takes no new work.
+    // The current record of the endpoint; empty if it accepts no new work.
     std::optional<EndpointRecord> usable(const EndpointId &id) const;
 
-    // The engine is changing its stage and takes no work; over when its row shows the other stage, or then.
+    // Marks an engine that is changing its stage and accepts no work, until its row shows the other stage or until
+    // `until`.
     void setChanging(const EndpointId &id, Instant until);
 
     EndpointPicker &picker()
@@ -64,7 +66,7 @@
     {
         return this->prefillChoice;
     }
-    // Retries towards one service, shared by all its routes.
+    // The retry budget of one service, shared by all its routes.
     RetryBudget &budget(const ServiceId &service);
     void expire(Instant now);
 
@@ -76,7 +78,7 @@
 
     void takeConfig(const std::shared_ptr<const RoutingConfig> &read);
     bool isChanging(const EndpointRecord &record) const;
-    // What was measured of an endpoint that is gone for good is of no use, and names come and go for months.
+    // Drops the measurements of a removed endpoint. The process runs for months while endpoint names come and go.
     void forgetRemoved(const EndpointId &id);
 
     DataCentreId dataCentre;
@@ -86,10 +88,11 @@
     EndpointRegistry registry;
     std::uint64_t version = 0; // of the registry
     Instant versionSince;
-    std::map<EndpointId, Change> changes; // one for each engine that was ever ordered, while it is known
+    // Engines that are changing their stage, with at most one entry for each known engine.
+    std::map<EndpointId, Change> changes;
     EndpointPicker plainPicker;
     PrefillChoice prefillChoice;
-    std::map<ServiceId, RetryBudget> budgets; // of the services that the configuration names or named
+    std::map<ServiceId, RetryBudget> budgets; // for services of the current or an earlier configuration
 };
 
 } // namespace fescuesill
--- a/programs/gateway/forwarding.h
+++ b/programs/gateway/forwarding.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What the two ways of forwarding a call share: the call, its bounds, and how it is refused.
+// Shared by the forwarding of plain calls and of generations: the call, its deadline and its refusal.
 //
 //     ForwardedCall call{services, head, httpCall, reply, route, service, arrival};
 //     call.refuse({RefusalCode::Overloaded, RunState::NotRun, "all endpoints are full", 100ms}, yield);
@@ -22,14 +22,14 @@
     GatewayMetrics &metrics;
 };
 
-// Why a call that failed at one endpoint was not sent to another.
+// Why a call that failed at one endpoint was not retried at another.
 enum class NoRetry {
-    None, // there was no reason to
+    None, // no retry was needed
     CallerGone,
-    NoTime, // the caller's patience or the route's timeout is over
-    NotRepeatable, // it may have run, and may run once only
-    Attempts, // the route's bound
-    Budget, // retries of the service are spent here
+    NoTime, // the caller's deadline or the route's timeout has passed
+    NotRepeatable, // the call may have run, and must not run twice
+    Attempts, // the route's limit on attempts is reached
+    Budget, // this host's retry budget for the service is exhausted
 };
 const char *nameOf(NoRetry reason);
 
@@ -43,14 +43,14 @@
     ConfigVersion version; // of the configuration that chose the route
     Instant arrival;
 
-    // The caller's patience or the route's timeout, whichever ends first.
+    // The caller's deadline or the route's timeout, whichever is earlier.
     Instant deadline() const;
     Duration timeLeft() const;
-    // Answers with an error of our own, and logs it with its reason and with why no other endpoint was asked.
+    // Replies with an error of the gateway, and logs its reason and why no other endpoint was tried.
     void refuse(const Refusal &refusal, NoRetry noRetry, const asio::yield_context &yield) const;
 };
 
-// How a refusal reads: its status, and when to come back.
+// Writes a refusal to the caller: its status, its body and the time to retry after.
 void sendRefusal(HttpReply &reply, const RequestId &id, const Refusal &refusal, const asio::yield_context &yield);
 
 } // namespace fescuesill
--- a/programs/gateway/gatewaymetrics.cpp
+++ b/programs/gateway/gatewaymetrics.cpp
@@ -18,7 +18,7 @@
 using prometheus::BuildHistogram;
 using Buckets = prometheus::Histogram::BucketBoundaries;
 
-// Around the targets in use: 0.1 s for a plain call, 1 s to the first event, 0.3 s between two.
+// The buckets cover the targets in use: 0.1 s for a plain call, 1 s to the first event, 0.3 s between two events.
 const Buckets answerBuckets{0.005, 0.01, 0.02, 0.04, 0.08, 0.12, 0.2, 0.4, 0.6, 1, 2, 5};
 const Buckets eventBuckets{0.05, 0.1, 0.2, 0.3, 0.4, 0.55, 0.75, 1, 1.5, 2, 4, 8};
 
@@ -48,17 +48,15 @@
                                                             .Register(this->registry);
     prometheus::Counter &retries = BuildCounter()
                                        .Name("fescuesill_gateway_retries_total")
-                                       .Help("Sends beyond the first of a plain call")
+                                       .Help("Retries of plain calls")
                                        .Register(this->registry)
                                        .Add({});
     prometheus::Family<prometheus::Histogram> &times = BuildHistogram()
                                                            .Name("fescuesill_gateway_seconds")
-                                                           .Help("Times of calls by what ended")
+                                                           .Help("Durations of calls by stage")
                                                            .Register(this->registry);
-    prometheus::Family<prometheus::Gauge> &gauges = BuildGauge()
-                                                        .Name("fescuesill_gateway_state")
-                                                        .Help("What this host holds and believes")
-                                                        .Register(this->registry);
+    prometheus::Family<prometheus::Gauge> &gauges =
+        BuildGauge().Name("fescuesill_gateway_state").Help("Current state of this host").Register(this->registry);
     prometheus::Histogram &answer = this->times.Add({{"of", "plain_answer"}}, answerBuckets);
     prometheus::Histogram &placed = this->times.Add({{"of", "place"}}, eventBuckets);
     prometheus::Histogram &prefilled = this->times.Add({{"of", "read"}}, eventBuckets);
--- a/programs/gateway/gatewaymetrics.h
+++ b/programs/gateway/gatewaymetrics.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// The counters and histograms of a gateway, of the forwarding thread.
+// The metrics of a gateway. Used only by the forwarding thread.
 //
 //     GatewayMetrics metrics;
 //     metrics.onPlainEnd("answered", 15ms);
-//     metrics.onGenerationEnd("whole", {placed, read, firstEvent, longestPause});
+//     metrics.onGenerationEnd("whole", {placed, prefilled, firstEvent, longestPause});
 //     metrics.text();                              // in the exposition format
 
 #include "fescuesill/errors.h"
@@ -17,7 +17,7 @@
 namespace fescuesill
 {
 
-// Times of one generation, from its arrival but for the pause; none for what it did not come to.
+// Times of one generation. All but the pause are measured from its arrival; a stage that it did not reach is empty.
 struct GenerationTimes {
     std::optional<Duration> placed;
     std::optional<Duration> prefilled;
@@ -28,9 +28,9 @@
 struct GatewayGauges {
     int inProgress = 0;
     std::size_t waitingForPlace = 0;
-    std::size_t placed = 0; // as the gate of this host knows them: of all hosts on the leader
-    ConfigVersion config; // in force; 0 before the first
-    Duration registryAge{0}; // since the store or the leader last confirmed what is believed
+    std::size_t placed = 0; // generations placed by this host's gates; on the leader, those of all hosts
+    ConfigVersion config; // the active version; 0 before the first
+    Duration registryAge{0}; // since the store or the leader last confirmed the registry
     bool isLeading = false;
     bool isFollowing = false;
 };
--- a/programs/gateway/gatewayprogram.cpp
+++ b/programs/gateway/gatewayprogram.cpp
@@ -1,5 +1,5 @@
-// Two threads: one forwards (callers, endpoints and the decisions between them share it, so no decision waits for a
-// lock), one follows the store. They are joined by a ring of updates.
+// The process has one thread that forwards calls and one that watches the store, connected by a ring of updates.
+// Callers, endpoints and all decisions share the forwarding thread, so no decision waits for a lock.
 
 #include "programs/gateway/gatewayprogram.h"
 
@@ -20,17 +20,19 @@
 namespace
 {
 
-constexpr std::size_t updateRingSize = 1024; // rows of the store between two turns of the forwarding thread
-constexpr Duration tickInterval{100ms}; // of what is due by time alone: grace of vanished endpoints, the planned stop
-constexpr Duration retryAfterWithoutConfig{1s}; // a host that just started reads its configuration within that
-constexpr Duration retryAfterWhenStopping{100ms}; // another host takes the next connection
-constexpr Bytes requestLineAllowance{4 << 10}; // beside the header limit, for the request line
+constexpr std::size_t updateRingSize =
+    1024; // rows of the store that may change between two turns of the forwarding thread
+constexpr Duration tickInterval{
+    100ms}; // for time-based work: the grace period of vanished endpoints, the graceful stop
+constexpr Duration retryAfterWithoutConfig{1s}; // a newly started host reads its configuration within this
+constexpr Duration retryAfterWhenStopping{100ms}; // the next connection goes to another host
+constexpr Bytes requestLineAllowance{4 << 10}; // for the request line, added to the limit on headers
 
 HttpClient::Options clientOptions(const GatewaySettings &settings)
 {
     HttpClient::Options options;
     options.connections =
-        settings.connections * 2; // a call has one connection to an endpoint at a time, and give-backs
+        settings.connections * 2; // a call uses one connection to an endpoint at a time, and more for releases
     options.connectLimit = settings.connectLimit;
     options.idlePerAddress = 0;
     return options;
@@ -82,7 +84,7 @@
     Ring<StoreUpdate> updates;
     std::unique_ptr<HttpServer> callers;
     std::unique_ptr<HttpServer> ready;
-    std::unique_ptr<LeaderLink> links; // null where the settings name no address for them
+    std::unique_ptr<LeaderLink> links; // null if the settings have no address for them
     std::unique_ptr<StoreWatcher> store;
     ConfigVersion limitsVersion;
     int inProgress = 0;
@@ -132,7 +134,7 @@
 {
     const Instant arrival = steadyNow();
     const CallHead head = readCallHead(call);
-    const auto config = this->fleet.activeConfig(); // stays as it is for this call, also where a newer one comes
+    const auto config = this->fleet.activeConfig(); // used for the whole call, even if a newer one arrives
     if (!this->fleet.isInitialised()) {
         sendRefusal(
             reply, head.id,
@@ -161,9 +163,9 @@
 void Gateway::serve(HttpCall &call, HttpReply &reply, const asio::yield_context &yield)
 {
     if (!this->draining.isReady()) {
-        reply.closeAfter(); // its caller's next connection goes to a host that stays
+        reply.closeAfter(); // the caller's next connection goes to a host that keeps running
     }
-    // A generation lasts seconds: one taken late in the time to stop would be cut off when it ends.
+    // A generation takes seconds. One admitted late in the grace period would be cut off when the period ends.
     if (!this->draining.admits(steadyNow())) {
         Refusal refusal = drainingRefusal();
         refusal.retryAfter = retryAfterWhenStopping;
@@ -303,7 +305,7 @@
 {
     Log::open("gateway", settings.logLevel, settings.host.value());
     std::signal(SIGPIPE, SIG_IGN);
-    std::signal(SIGHUP, SIG_IGN); // settings are read at the start; a changed one comes with a restart
+    std::signal(SIGHUP, SIG_IGN); // settings are read only at the start; changes need a restart
     return Gateway(settings).run();
 }
 
--- a/programs/gateway/gatewayprogram.h
+++ b/programs/gateway/gatewayprogram.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// The gateway process: forwards calls to the endpoints that the users' platform knows of.
+// The gateway process: forwards calls to the endpoints that are registered with the users' platform.
 //
-//     return runGateway(settings);          // until SIGTERM and the planned stop that follows
+//     return runGateway(settings);          // returns after SIGTERM and the graceful stop
 
 #include "programs/gateway/gatewaysettings.h"
 
--- a/programs/gateway/gatewaysettings.cpp
+++ b/programs/gateway/gatewaysettings.cpp
@@ -23,8 +23,8 @@
     settings.connectLimit = reader->duration("endpoints", "connect", settings.connectLimit, {1ms, 1min});
     settings.reservationLimit = reader->duration("endpoints", "reservation", settings.reservationLimit, {1ms, 1min});
     settings.connections = static_cast<std::size_t>(reader->number("limits", "connections", 1500, {1, 30000}));
-    // Every send beyond the first is paid for, also those that an endpoint refuses; a fifth is left for what hosts that
-    // were just started or ended count otherwise.
+    // Every send after the first counts against the budget, also if the endpoint refuses it. A fifth is kept in reserve
+    // for hosts that have just started or stopped, whose counts differ.
     const double allowed = reader->fraction("retries", "fleet_share", 0.2, {0, 100});
     settings.retryShare = allowed * 0.8;
     settings.retriesSaved = reader->fraction("retries", "saved", settings.retriesSaved, {0, 1000});
--- a/programs/gateway/gatewaysettings.h
+++ b/programs/gateway/gatewaysettings.h
@@ -17,21 +17,21 @@
 
     HostId host;
     DataCentreId dataCentre;
-    std::string callers; // IP:PORT of the callers' port
-    std::string ready; // IP:PORT where the balancer asks
-    std::string peers; // IP:PORT for the links of other gateways; empty: this host neither leads nor follows
+    std::string callers; // IP:PORT of the port for callers
+    std::string ready; // IP:PORT of the balancer's readiness check
+    std::string peers; // IP:PORT for links of other gateways; if empty, this host neither leads nor follows
     std::string store; // IP:PORT of the users' store
-    // How long a host may go without hearing of a change. A wait at the store is half of it, so that a connection that
-    // went silent is found and replaced in time.
+    // The longest time in which a host may miss a change. A long poll of the store lasts half of it, so that a silent
+    // connection is detected and replaced in time.
     Duration contactLimit{3s};
-    Duration lease{3s}; // of the leader: no other host acts as one sooner after it
-    Duration grace{8s}; // from the signal to stop until the process is killed
-    Duration announce{3s}; // how long the balancer takes to see that this host stops: two questions, one a second
-    Duration connectLimit{150ms}; // ten round trips between data centres; a lost first packet is sent again after 1 s
-    Duration reservationLimit{300ms}; // a reservation is one short call
-    std::size_t connections = 1500; // of callers
-    // Retries as a share of the calls, and how many may be saved up: the hosts of a fleet share one budget and do not
-    // speak to each other about it, so each keeps to its own part.
+    Duration lease{3s}; // of the leader; no other host acts as leader before it has expired
+    Duration grace{8s}; // from SIGTERM until the process is killed
+    Duration announce{3s}; // until the balancer sees that this host stops: two checks, one per second
+    Duration connectLimit{150ms}; // ten round trips between data centres; a lost SYN is sent again after 1 s
+    Duration reservationLimit{300ms}; // for a reservation, which is one short call
+    std::size_t connections = 1500; // maximum, from callers
+    // Retries as a share of calls, and how many may accumulate. The limit applies to the whole fleet, and hosts do not
+    // coordinate on it, so each host keeps to its own part.
     double retryShare = 0.16;
     double retriesSaved = 2;
     // Whether the leader moves engines between prefill and decode.
--- a/programs/gateway/generationforward.cpp
+++ b/programs/gateway/generationforward.cpp
@@ -1,9 +1,10 @@
-// The order is reserve, read, write. A prefill result lives for half a second or less and decode memory is what runs
-// short, so reading first would throw away whole prompts in every burst; the reservation costs one short call.
+// The order is: reserve at the decode engine, prefill, decode. A prefill result lives for half a second or less and
+// decode memory is the scarce resource, so a prefill before the reservation would waste whole prompts in every burst.
+// The reservation costs one short call.
 //
-// A generation may run once, so it is sent again only where the engine said that it did not run it, or nothing was
-// sent, or the route lets another engine go on after the last whole event. What was reserved or read and not used is
-// given back at once: it is memory that other callers wait for.
+// A generation must not run twice, so it is retried only if the engine reported that it did not run it, if nothing was
+// sent, or if the route allows another engine to resume after the last complete event. Unused reservations and prefill
+// results are released at once, because other callers wait for that memory.
 
 #include "programs/gateway/generationforward.h"
 
@@ -16,20 +17,21 @@
 namespace
 {
 
-// A caller that says nothing of the size of its prompt gets the place of a long one.
+// Assumed for a call that does not state its size; that of a long prompt.
 constexpr Tokens defaultPromptSize(8000);
-// A caller gives up on a stream that shows nothing for two seconds, four times its target or eight times its longest
+// A caller abandons a stream that delivers no event for two seconds, four times its target or eight times its longest
 // pause, whichever is longest.
 constexpr Duration minPatience{2s};
-// Time kept for the reservation, the read and the first step when a place comes free.
+// Time needed for the reservation, the prefill and the first decode step after a place becomes free.
 constexpr Duration prefillTime{250ms};
-// Reserved beside the prompt: some ten events. All of the output would push other generations out of the engine's
-// memory long before it is made; how much all of them will grow is what the gate forecasts.
+// Reserved in addition to the prompt, for about ten events. Reserving the whole output would evict other generations
+// from the engine's memory long before the output exists. The gate forecasts the growth of all generations.
 constexpr Tokens reservedOutput(500);
-// A read that takes longer waits behind several others or at an engine that went dark; the decode engine reads sooner.
+// A prefill that takes longer is queued behind several others or is at an unresponsive engine. The decode engine then
+// completes the prefill sooner itself.
 constexpr Duration prefillLimit{700ms};
 constexpr Duration minRetryAfter{500ms};
-constexpr Duration releaseLimit{1s}; // for giving back a reservation or a result, which lapse by themselves later
+constexpr Duration releaseLimit{1s}; // for releasing a reservation or a result; both expire without it
 constexpr int statusOk = 200;
 
 } // namespace
@@ -63,7 +65,7 @@
     request.output = std::min(size.maxOutput, size.expectedOutput.value_or(size.maxOutput));
     request.mostOutput = size.maxOutput;
     request.arrival = steadyNow();
-    // One that goes on has its first event, and only its caller's patience with a pause.
+    // A resumed stream has already delivered its first event; only the limit on pauses applies to it.
     const Duration target = this->isStarted ? Duration(0) : std::min(route.target, this->call.timeLeft());
     request.onTimeUntil = this->call.arrival + std::max<Duration>(target - prefillTime, target / 2);
     const Duration patience = std::max({minPatience, route.target * 4, route.longestPause * 8});
@@ -103,7 +105,7 @@
         this->lastFault = "no room at " + decode.id.value();
         this->report(peer::PlaceEvent::Full);
     } catch (const HttpError &error) {
-        this->checkCaller(); // it ended the call, and the engine has no fault
+        this->checkCaller(); // if the caller cancelled the call, the engine is not at fault
         this->lastFault = error.what();
         this->report(peer::PlaceEvent::Fault);
     }
@@ -229,7 +231,7 @@
         this->recordEvents();
         this->call.reply.write(whole, yield);
         if (this->events.isTooLong()) {
-            this->lastFault = "an event without an end";
+            this->lastFault = "an event exceeds the size limit";
             return Outcome::Broken;
         }
     }
@@ -254,11 +256,11 @@
                                                  {this->call.timeLeft(), Reuse::Never, &this->abort}, yield);
         const AnswerHead head = readAnswerHead(stream.head(), this->call.head.id);
         if (head.reportsNotRun) {
-            this->lastFault = "the engine did not take it";
+            this->lastFault = "the engine did not run the call";
             return Outcome::NotRun;
         }
         if (!head.isForThisCall || head.isEncoded) {
-            this->lastFault = "not the answer to this call";
+            this->lastFault = "the response does not belong to this call or is encoded";
             return Outcome::Broken;
         }
         if (head.status != statusOk) {
@@ -277,7 +279,7 @@
     }
 }
 
-// Nobody waits for this: what is not given back lapses by itself, and its price is that others wait meanwhile.
+// Runs in the background. A reservation or result that is not released expires, but blocks other callers until then.
 void GenerationForward::release(const Place &place, const std::optional<Prefill> &read)
 {
     HttpClient &client = this->call.services.client;
@@ -296,7 +298,7 @@
     }
 }
 
-// The decode engine had room reserved, so it refused because it could not get the result.
+// The decode engine had memory reserved, so it must have refused because it could not fetch the prefill result.
 void GenerationForward::reportLostResult(const Place &place)
 {
     const EngineId id(this->prefillEngine.value());
@@ -412,7 +414,7 @@
                           this->noRetry, yield);
         return;
     }
-    const std::string reason = this->lastFault.empty() ? "no engine has room in time" : this->lastFault;
+    const std::string reason = this->lastFault.empty() ? "no engine had room in time" : this->lastFault;
     this->call.refuse({RefusalCode::Overloaded, RunState::NotRun, reason,
                        std::max<Duration>(this->retryAfter.value_or(minRetryAfter), minRetryAfter)},
                       this->noRetry, yield);
--- a/programs/gateway/generationforward.h
+++ b/programs/gateway/generationforward.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// One generation: a place reserved at a decode engine, the prompt read by a prefill engine, the events handed on.
+// Forwards one generation: reserves a place at a decode engine, has a prefill engine process the prompt, and relays the
+// events to the caller.
 //
 //     GenerationForward(call).run(yield);
 
@@ -22,17 +23,17 @@
     void run(const asio::yield_context &yield);
 
 private:
-    // What became of one try, from the place to the end of the events.
+    // The result of one attempt, from the placement to the end of the events.
     enum class Outcome {
-        Whole, // answered, also with an error of the engine's
-        NoPlacement, // nobody had room in time
-        NotRun, // the engine said so, or nothing was sent
-        Broken, // may have run
+        Whole, // answered, possibly with an error of the engine
+        NoPlacement, // no engine had room in time
+        NotRun, // the engine reported that it did not run it, or nothing was sent
+        Broken, // failed, and may have run
     };
     struct Place {
         EndpointRecord engine;
         ReservationId reservation;
-        EngineId prefill; // named by the leader; none where empty
+        EngineId prefill; // chosen by the gate; empty if it chose none
     };
     struct Prefill {
         std::string address;
@@ -50,7 +51,7 @@
     void reportLostResult(const Place &place);
     void release(const Place &place, const std::optional<Prefill> &prefill);
     void finish(Outcome ended, const asio::yield_context &yield);
-    // Takes a retry from the budget; or why there may be none.
+    // Takes a retry from the budget and returns nothing, or returns why there is no retry.
     std::optional<NoRetry> claimRetry(Outcome ended);
     GenerationAsk placementRequest() const;
     PromptKey promptKey() const;
@@ -66,17 +67,17 @@
     EventRelay events;
     std::optional<Duration> retryAfter;
     std::string lastFault;
-    NoRetry noRetry = NoRetry::None; // why the last fault was the end
-    EngineId avoid; // the engine that broke off
-    EndpointId engine; // that is or was asked last
-    std::int64_t eventsProduced = 0; // by the engine asked last
-    int sends = 0; // to decode engines, of which at least a byte left
-    bool isStarted = false; // the caller has the head of the answer
-    bool isSelfPrefilled = false; // the decode engine reads the prompt: no prefill engine could
-    // From the arrival, for the log.
+    NoRetry noRetry = NoRetry::None; // why the last fault was not retried
+    EngineId avoid; // the engine that failed during the last attempt
+    EndpointId engine; // the decode engine of the current or last attempt
+    std::int64_t eventsProduced = 0; // complete events received so far
+    int sends = 0; // requests to decode engines of which at least one byte was sent
+    bool isStarted = false; // the head of the response was sent to the caller
+    bool isSelfPrefilled = false; // the decode engine runs the prefill itself, since no prefill engine could
+    // For the log and the metrics.
     GenerationTimes times;
     Instant lastEventAt;
-    EndpointId prefillEngine; // the prefill engine asked last
+    EndpointId prefillEngine; // the last one that a prefill was sent to
 };
 
 } // namespace fescuesill
--- a/programs/gateway/leaderlink.cpp
+++ b/programs/gateway/leaderlink.cpp
@@ -1,7 +1,7 @@
-// The node of the links has a thread of its own; what happens there comes to the forwarding thread through a ring. A
-// ring that is full drops an ask or a piece of news: a dropped ask waits at its host until its caller is refused, and a
-// dropped end is mended when the link is opened anew. Both need thousands of messages within one turn of the forwarding
-// thread.
+// The node of the links runs on its own thread and passes its events to the forwarding thread through a ring. A full
+// ring drops a request or an update: a dropped request waits at its host until its caller is refused, and a dropped end
+// of a generation is corrected when the link is reopened. Both need thousands of messages within one turn of the
+// forwarding thread.
 
 #include "programs/gateway/leaderlink.h"
 
@@ -17,9 +17,11 @@
 {
 
 constexpr std::size_t eventRingSize = 4096;
-// Bytes to all followers. More would hold up places for generations on a leader with a slow link; the store has room.
+// To all followers together. Larger updates would delay placements on a leader with a slow link; followers read the
+// store instead, which has the bandwidth.
 constexpr std::size_t maxChangeFanOutBytes = 256 << 10;
-constexpr Duration followRequestInterval{1s}; // one message of a few bytes; meanwhile this host reads the store itself
+constexpr Duration followRequestInterval{
+    1s}; // a message of a few bytes; until it succeeds, this host reads the store itself
 
 } // namespace
 
@@ -74,7 +76,7 @@
 void LeaderLink::push(Event event)
 {
     if (!this->events.tryPush(std::move(event))) {
-        Log::warning("link_event_dropped", {{"reason", "the forwarding thread is behind"}});
+        Log::warning("link_event_dropped", {{"reason", "the ring to the forwarding thread is full"}});
     }
 }
 
@@ -166,7 +168,7 @@
     return {this->announcedDeputy, this->deputies.followers().size() + 1};
 }
 
-// Two gates would fill the same engines.
+// Ends the placements for other hosts, since two gates would fill the same engines.
 void LeaderLink::endPlacing()
 {
     for (const LinkId follower : this->placementClients) {
@@ -178,7 +180,7 @@
     this->announcedDeputy.clear();
 }
 
-// Its followers would wait for news that does not come.
+// Notifies the followers as well, which would otherwise wait for updates that no longer come.
 void LeaderLink::endLeading()
 {
     this->endPlacing();
@@ -223,7 +225,8 @@
     this->applyRoute(steadyNow());
 }
 
-// News may arrive too late to be of use, and a leader that lost the store may have it again.
+// Repeats the request to follow: an update may have come too late to apply, and a leader that lost the store may have
+// reconnected to it.
 void LeaderLink::onTick(Instant now)
 {
     const bool isDue = this->path == PlacingPath::Leader && !this->store->isRelayed()
--- a/programs/gateway/leaderlink.h
+++ b/programs/gateway/leaderlink.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// The links between gateways: to the leader where this host follows one, from the followers where it leads.
+// The links between gateways: to the leader if this host follows one, and from the followers if it leads.
 //
 //     auto link = LeaderLink::create(io, options, gates);
 //     link.value()->setStore(store);
-//     link.value()->onLeader(update);          // who leads, as the lease says
+//     link.value()->onLeader(update);          // the current leader, according to the lease
 
 #include "programs/gateway/placementgates.h"
 #include "promise/deputychoice.h"
@@ -21,33 +21,33 @@
 public:
     struct Options {
         std::string listen; // IP:PORT
-        // A leader that froze or was cut off is noticed within this, and generations that wait with it are placed
-        // from here: a fifth of a caller's target would be lost otherwise.
+        // A leader that hangs or is unreachable is detected within this time, and this host then places the generations
+        // that wait there. Otherwise they would lose a fifth of the caller's target.
         Duration silence{900ms};
         Duration heartbeat{300ms};
     };
 
     static tl::expected<std::unique_ptr<LeaderLink>, WireError> create(asio::io_context &io, const Options &options,
                                                                        PlacementGates &gates);
-    // Which follows the store; outlives the links.
-    void setStore(StoreWatcher &duty)
+    // Sets the watcher of the store, which outlives the links.
+    void setStore(StoreWatcher &watcher)
     {
-        this->store = &duty;
+        this->store = &watcher;
     }
     ~LeaderLink();
     LeaderLink(const LeaderLink &) = delete;
     LeaderLink &operator=(const LeaderLink &) = delete;
 
     void onLeader(const store_update::Leader &leader);
-    // Hands it to one follower or to all.
+    // Sends the update to one follower or to all.
     void onUpdate(const store_update::PeerUpdate &update);
     bool leads() const
     {
         return this->isLeading;
     }
-    // This host stops: it will place for no other.
+    // This host is stopping and places for no other host from now on.
     void onStopping();
-    // Now and then.
+    // Called periodically.
     void onTick(Instant now);
     void stop();
 
@@ -72,7 +72,7 @@
     void onClosed(LinkId link);
     void setLeaderReachable(bool isReachable);
     bool isDeputyLink(LinkId link) const;
-    // Brings links and the gates in line with the route.
+    // Updates the links and the gates to match the route.
     void applyRoute(Instant now);
     void switchPath(PlacingPath next);
     void announceDeputy();
@@ -84,9 +84,9 @@
     PlacementGates &gates;
     StoreWatcher *store = nullptr;
     std::set<LinkId> followers; // links to this host while it leads
-    std::set<LinkId> placementClients; // hosts that this one places for
+    std::set<LinkId> placementClients; // links to hosts that this one places for
     DeputyChoice<LinkId> deputies;
-    std::string announcedDeputy; // as the followers know it
+    std::string announcedDeputy; // the deputy last announced to the followers
     std::string ownAddress;
     PlacingRoute route;
     struct DeputyLink {
@@ -94,13 +94,13 @@
         LinkId link{};
     };
     std::optional<DeputyLink> deputy;
-    PlacingPath path = PlacingPath::Alone; // that the gates take
+    PlacingPath path = PlacingPath::Alone; // the path that the gates use now
     std::optional<LinkId> uplink;
-    std::uint64_t hosts = 1; // of the fleet, as the last leader said
+    std::uint64_t hosts = 1; // in the fleet, as last stated by the leader or its deputy
     bool isActing = false;
     Ring<Event> events;
     std::unique_ptr<PeerNode> node;
-    std::optional<LinkId> leader; // the link to it, where this host follows
+    std::optional<LinkId> leader; // the link to the leader, if this host follows one
     std::string leaderAddress;
     bool isLeading = false;
     Instant lastFollowRequest;
--- a/programs/gateway/main.cpp
+++ b/programs/gateway/main.cpp
@@ -4,6 +4,6 @@
 int main(int argc, char **argv)
 {
     const fescuesill::Daemon daemon{"fescuesill-gateway",
-                                    "Forwards calls by route to the endpoints that the platform knows of."};
+                                    "Forwards calls by route to the endpoints registered with the platform."};
     return fescuesill::runDaemon(daemon, argc, argv, fescuesill::GatewaySettings::fromFile, fescuesill::runGateway);
 }
--- a/programs/gateway/placementgates.cpp
+++ b/programs/gateway/placementgates.cpp
@@ -1,10 +1,10 @@
-// Every event of a gate is followed by a poll, and each action goes to the one generation that it concerns: a coroutine
-// of this host, or the host that asked. A timer polls again at the gate's next wake; without one, a request that nobody
-// places would never be told.
+// Every event of a gate is followed by a poll, and each resulting action goes to the one generation that it concerns:
+// to a coroutine of this host, or to the host that sent the request. A timer polls at the gate's next wake time, since
+// a request that is never placed would otherwise get no reply.
 //
-// With a leader, a generation of this host waits in the leader's gate and in no other; the gate here adopts it when its
-// place is known. If the leader is lost, those that wait with it are submitted here at once. Placing by two gates at
-// the same time costs refusals of engines, and no more: an engine never gives the same memory twice.
+// With a leader, a generation of this host waits only in the leader's gate; the local gate adopts it once its engine is
+// known. If the leader is lost, the requests that wait there are submitted to the local gate at once. Two gates that
+// place at the same time only cause refusals by engines, because an engine never reserves the same memory twice.
 
 #include "programs/gateway/placementgates.h"
 
@@ -384,8 +384,8 @@
     }
 }
 
-// Its generations are taken for ended: where the host died, engines drop them with its connections, and where only the
-// link broke it says again what it holds.
+// Treats the generations of the follower as ended. If the host died, the engines drop them with its connections; if
+// only the link broke, the host reports its placements again when it reconnects.
 void PlacementGates::onFollowerLost(LinkId link)
 {
     for (auto remote = this->remoteGenerations.begin(); remote != this->remoteGenerations.end();) {
--- a/programs/gateway/placementgates.h
+++ b/programs/gateway/placementgates.h
@@ -1,17 +1,17 @@
 #pragma once
 
-// Lets generations wait for places: those of this host, and where this host leads those of all others.
+// Queues generations until an engine has room: those of this host, and on the leader those of all hosts.
 //
-//     PlacementGates keeper(io, fleet, seed);
-//     const GateAction action = keeper.ask(service, ask, yield);     // waits until there is a place to try, or none
-//     keeper.report(service, id, peer::PlaceEvent::Full);            // the same generation asks again
-//     const GateAction next = keeper.again(id, yield);
-//     keeper.setUplink([&](const peer::Message &message) { ... });   // the leader, or its deputy, is another host
-//     gates.suspend();                                                 // it was lost, and a deputy may take over soon
-//     keeper.setUplink({});                                          // there is none: this host decides alone
+//     PlacementGates gates(io, fleet, seed);
+//     const GateAction action = gates.requestPlacement(service, request, yield); // an engine to try, or a rejection
+//     gates.report(service, id, peer::PlaceEvent::Full);             // the generation is queued again
+//     const GateAction next = gates.nextDecision(id, yield);
+//     gates.setUplink([&](const peer::Message &message) { ... });    // another host is the leader, or its deputy
+//     gates.suspend();                                               // it was lost, and a deputy may take over soon
+//     gates.setUplink({});                                           // there is none: this host decides alone
 //
-// Every host keeps a gate of the generations that it runs itself, so it can decide alone at any moment: then it sees
-// only its own part of the load, and engines refuse more often.
+// Every host also tracks its own generations in a gate, so that it can decide alone at any time. It then sees only its
+// own part of the load, and engines refuse more often.
 
 #include "programs/gateway/fleetview.h"
 #include "wire/linkid.h"
@@ -30,45 +30,45 @@
 
     PlacementGates(asio::io_context &io, FleetView &fleet, std::uint64_t seed);
 
-    // Submits and waits. Ends with RejectGeneration too where the caller went while it waited.
+    // Submits a request and waits for the decision. Also returns RejectGeneration if the caller disconnected meanwhile.
     GateAction requestPlacement(const ServiceId &service, const GenerationAsk &request,
                                 const asio::yield_context &yield);
-    // Waits for the next decision after a place that was full or failed.
+    // Waits for the next decision after an engine was full or failed.
     GateAction nextDecision(const RequestId &id, const asio::yield_context &yield);
-    // What became of the place of a generation of this host.
+    // Reports an event of the placement of a generation of this host.
     void report(const ServiceId &service, const RequestId &id, peer::PlaceEvent event, Tokens made = Tokens(0));
-    // The caller went: a wait ends at once.
+    // Ends a wait at once, since the caller disconnected.
     void cancelWait(const RequestId &id);
-    // Engines came, left or changed.
+    // Engines were added, removed or changed.
     void onFleetChanged();
-    // Over all services.
+    // Sums over all services.
     std::size_t waiting() const;
     std::size_t placed() const;
     bool isFollowing() const
     {
         return static_cast<bool>(this->uplink);
     }
-    // None for a service that nothing was placed for yet.
+    // Empty for a service without a gate, for which nothing was placed yet.
     std::optional<StageLoad> stageLoad(const ServiceId &service) const;
 
-    // Towards the leader; empty where there is none to be reached.
+    // Sets how to send to the leader or its deputy; empty if neither can be reached.
     void setUplink(Send send);
-    // Nobody places now: generations wait for the next setUplink().
+    // Stops placing: generations wait for the next call of setUplink().
     void suspend();
-    // The part of the engines' memory that this host may fill.
+    // Sets the part of the engines' memory that this host may fill.
     void setShare(double share);
     void onPlacementOffered(const peer::TryPlace &message);
     void onPlacementRejected(const peer::NoPlace &message);
     void onChanging(const peer::EngineChanging &message);
 
-    // From a host that follows this one.
+    // Messages from a host that follows this one.
     void onPlacementRequested(LinkId link, const Send &reply, const peer::AskPlace &message);
     void onPlacementReport(LinkId link, const peer::PlaceReport &message);
     void onHeldPlacements(LinkId link, const peer::HeldPlaces &message);
     void onFollowerLost(LinkId link);
 
 private:
-    // One generation of this host, from its ask to its end.
+    // One generation of this host, from its request to its end.
     struct LocalGeneration {
         explicit LocalGeneration(asio::io_context &io)
             : timer(io)
@@ -79,11 +79,11 @@
         std::optional<GateAction> decision;
         ServiceId service;
         GenerationAsk request;
-        EngineId engine; // its place; empty while it waits
+        EngineId engine; // where it is placed; empty while it waits
         Instant since;
-        bool isAtLeader = false; // the leader was asked and has not decided
+        bool isAtLeader = false; // the request waits for a decision of the leader
     };
-    // One generation of another host that this one leads.
+    // One generation of another host, placed by this one.
     struct RemoteGeneration {
         LinkId link{};
         ServiceId service;
@@ -112,10 +112,11 @@
     asio::io_context &io;
     FleetView &fleet;
     std::uint64_t seed;
-    std::map<ServiceId, Gate> gates; // of the generating services that the configuration names or named
+    std::map<ServiceId, Gate> gates; // of generating services of the current or an earlier configuration
     std::unordered_map<RequestId, std::shared_ptr<LocalGeneration>>
-        localGenerations; // bounded by the callers' connections
-    std::unordered_map<RequestId, RemoteGeneration> remoteGenerations; // by those of all hosts
+        localGenerations; // bounded by the number of callers' connections
+    std::unordered_map<RequestId, RemoteGeneration>
+        remoteGenerations; // bounded by the callers' connections of all hosts
     Send uplink;
     bool isSuspended = false;
     double share = 1;
--- a/programs/gateway/plainforward.cpp
+++ b/programs/gateway/plainforward.cpp
@@ -1,9 +1,9 @@
-// A call goes out on a connection of its own: whether an endpoint closed a kept connection before or after it took the
-// call cannot be told, and bytes that an endpoint sends after an answer would be read as the answer to the next call.
+// Each call uses a new connection. On a reused one, it is unknown whether the endpoint closed it before or after it
+// accepted the call, and bytes that an endpoint sends after a response would be taken for the next response.
 //
-// Another endpoint is asked only where that is harmless: the call may be repeated, or not one byte of it left, or the
-// endpoint said that it did not run it. The route bounds the endpoints that one call may reach, and the budget the
-// retries of a service.
+// A call is retried at another endpoint only if that is safe: the call is repeatable, no byte of it was sent, or the
+// endpoint reported that it did not run it. The route limits the attempts of one call, and the retry budget limits the
+// retries to a service.
 
 #include "programs/gateway/plainforward.h"
 
@@ -18,10 +18,10 @@
 namespace
 {
 
-// A full endpoint has some two dozen calls of 15 ms before its slots, which drain in under this.
+// A full endpoint has about two dozen calls of 15 ms queued, which complete in less than this.
 constexpr Duration retryAfterWhenFull{100ms};
-constexpr Duration retryAfterWhenNone{1s}; // no endpoint at all: they come and go within seconds
-constexpr int maxConnectAttempts = 4; // endpoints that could not be reached, one after the other
+constexpr Duration retryAfterWhenNone{1s}; // without any endpoint; endpoints come and go within seconds
+constexpr int maxConnectAttempts = 4; // to unreachable endpoints, for one call
 constexpr int firstServerError = 500;
 
 } // namespace
@@ -38,8 +38,8 @@
     return chosen ? fleet.usable(*chosen) : std::nullopt;
 }
 
-// A call that may be repeated leaves an endpoint that stays silent while an answer from another one can still meet the
-// target; the last endpoint gets all the time there is.
+// A repeatable call abandons a silent endpoint while a response from another one can still meet the target. The last
+// attempt gets all remaining time.
 Duration PlainForward::tryLimit() const
 {
     const Duration left = this->call.timeLeft();
@@ -72,12 +72,12 @@
     }
     AnswerHead head = readAnswerHead(response, this->call.head.id);
     if (head.reportsNotRun) {
-        this->lastFault = "the endpoint did not take it";
+        this->lastFault = "the endpoint did not run the call";
         ended(EndpointOutcome::Full);
         return SendResult::ReportedNotRun;
     }
     if (!head.isForThisCall || head.isEncoded) {
-        this->lastFault = "not the answer to this call";
+        this->lastFault = "the response does not belong to this call or is encoded";
         ended(EndpointOutcome::Failed);
         return SendResult::Lost;
     }
@@ -145,7 +145,7 @@
         return;
     }
     const Duration retryAfter = last == SendResult::ReportedNotRun ? retryAfterWhenFull : retryAfterWhenNone;
-    const std::string reason = this->lastFault.empty() ? "no endpoint takes calls" : this->lastFault;
+    const std::string reason = this->lastFault.empty() ? "no endpoint accepts calls" : this->lastFault;
     this->call.refuse({RefusalCode::Overloaded, RunState::NotRun, reason, retryAfter}, this->noRetry, yield);
 }
 
--- a/programs/gateway/plainforward.h
+++ b/programs/gateway/plainforward.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One call to a plain endpoint, handed on and its answer handed back.
+// Forwards one call to a plain endpoint and returns its response to the caller.
 //
 //     PlainForward(call).run(yield);
 
@@ -20,17 +20,17 @@
     void run(const asio::yield_context &yield);
 
 private:
-    // What became of one send.
+    // The result of one send.
     enum class SendResult {
         Answered,
         NeverSent,
         ReportedNotRun,
-        Lost, // may have run
+        Lost, // failed, and may have run
     };
 
     std::optional<EndpointRecord> choose(Instant now);
     SendResult send(const EndpointRecord &endpoint, const asio::yield_context &yield);
-    // Takes a retry from the budget; or why there may be none.
+    // Takes a retry from the budget and returns nothing, or returns why there is no retry.
     std::optional<NoRetry> claimRetry(SendResult sent);
     Duration tryLimit() const;
     void finish(SendResult last, const asio::yield_context &yield);
@@ -41,9 +41,9 @@
     const ForwardedCall &call;
     CallAbort abort;
     std::vector<EndpointId> tried;
-    int sends = 0; // of which at least a byte left
+    int sends = 0; // of which at least one byte was sent
     bool mayHaveRun = false;
-    // Of the last endpoint that answered; kept while another one is asked after an error.
+    // The response of the last endpoint that answered; an error response is kept while another endpoint is tried.
     struct Answer {
         EndpointId endpoint;
         HttpResponse response;
@@ -51,7 +51,7 @@
     };
     std::optional<Answer> answered;
     std::string lastFault;
-    NoRetry noRetry = NoRetry::None; // why the last fault was the end
+    NoRetry noRetry = NoRetry::None; // why the last fault was not retried
 };
 
 } // namespace fescuesill
--- a/programs/gateway/recentrows.cpp
+++ b/programs/gateway/recentrows.cpp
@@ -1,5 +1,5 @@
-// Rows of one transaction share a version. Where the bound drops some of them, the version counts as dropped whole: a
-// host that has less is not served, and one that has it needs none of them.
+// Rows of one transaction share a version. If the limit drops some of them, the whole version counts as dropped: a host
+// that is older than this version is not served, and a host that has it needs none of its rows.
 
 #include "programs/gateway/recentrows.h"
 
--- a/programs/gateway/recentrows.h
+++ b/programs/gateway/recentrows.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// The latest changes of a table, for hosts that have all but some of them.
+// The latest changes of a table, for hosts that are only a few changes behind.
 //
 //     RecentRows recent;
-//     recent.restart(version);                  // the table was read whole at that version of the store
+//     recent.restart(version);                  // the whole table was read at that version of the store
 //     recent.add(rows, before, version);        // what changed after `before`, up to `version`
 //     if (recent.covers(has)) { send(recent.after(has)); }
 //
-// Load: all hosts of a large fleet link to a new leader at once. Harm prevented: it sends each of them the whole table;
-// at 300 hosts and 3,000 endpoints that took 90 MB of its memory, and the platform killed it.
+// When a new leader takes over, all hosts of the fleet connect to it at once. Sending each of them the whole table took
+// 90 MB of memory with 300 hosts and 3,000 endpoints, and the leader was killed for it.
 
 #include "wire/messages.h"
 
@@ -22,18 +22,19 @@
 class RecentRows
 {
 public:
-    // Some 300 bytes each; a follower is behind by a second or two, in which a fleet of thousands changes some hundred.
+    // A row takes about 300 bytes. A follower is one or two seconds behind, in which a fleet of thousands of endpoints
+    // changes about a hundred rows.
     static constexpr std::size_t maxRows = 500;
 
     void restart(std::int64_t version);
     void add(const std::vector<peer::RegistryRow> &rows, std::int64_t before, std::int64_t version);
-    // Whether all that changed after that version is here; not for one that is too far behind, or ahead.
+    // Whether all changes after that version are held; false if the version is too old or newer than the newest held.
     bool covers(std::int64_t version) const;
     peer::RegistryNews after(std::int64_t version) const;
 
 private:
     std::deque<peer::RegistryRow> rows;
-    std::int64_t since = 0; // all changes after this version are among them
+    std::int64_t since = 0; // all changes after this version are held
     std::int64_t newest = 0;
 };
 
--- a/programs/gateway/stageorders.cpp
+++ b/programs/gateway/stageorders.cpp
@@ -1,9 +1,9 @@
-// PoolPlan says how many engines each pool should have; this finds the engines and gives the orders.
+// PoolPlan decides how many engines each pool should have. This class chooses the engines and sends the orders.
 //
-// Only the holder of the lease orders, and asks its lease right before the first byte. An order that gets no answer may
-// be carried out later; the count of orders that the engine had accepted makes it void where another came first. No
-// host sends work to an engine that is changing or that an unanswered order may still change: each refusal is paid from
-// the retry budget that all hosts share.
+// Only the holder of the lease sends orders, and it checks its lease right before the first byte. An order without a
+// reply may still be carried out later; it states how many orders the engine had accepted, so the engine rejects it if
+// another order came first. No host sends work to an engine that is changing, or that an unanswered order may still
+// change, because each refusal uses up the retry budget that all hosts share.
 
 #include "programs/gateway/stageorders.h"
 
@@ -16,11 +16,13 @@
 {
 
 constexpr Duration orderLimit{500ms}; // one short call
-constexpr Duration announcementDelay{200ms}; // for reads that were on their way to the engine when it was announced
-constexpr Duration maxOrderDelay{12s}; // of an order that got no answer
-constexpr Duration minOrderInterval{15s}; // until an engine is ordered again
-constexpr Duration changeMargin{2s}; // until the registry shows it, and work that still runs there
-// An engine that crashed is back within seconds, and a pool that lost it for good is no shorter for waiting so long.
+constexpr Duration announcementDelay{
+    200ms}; // for prefills already on their way to the engine when the change was announced
+constexpr Duration maxOrderDelay{12s}; // until an order without a reply takes effect
+constexpr Duration minOrderInterval{15s}; // between two orders to one engine
+constexpr Duration changeMargin{2s}; // for work that still runs there, and until the registry shows the change
+// A crashed engine usually restarts within seconds, so it counts as part of its pool for this long. If it does not
+// return, the delay costs the pool nothing.
 constexpr Duration missingLimit{10s};
 
 } // namespace
@@ -112,7 +114,7 @@
     }
 }
 
-// From the data centre that has most of that part, so that each keeps some.
+// Chooses from the data centre with the most engines of that stage, so that each data centre keeps some.
 std::optional<EndpointRecord> StageOrders::chooseEngine(const ServiceId &id, EndpointPart from, const Service &service,
                                                         Instant now) const
 {
@@ -163,7 +165,7 @@
     timer.async_wait(yield[ignored]);
     const auto fencing = store.fencingForOrder();
     if (!fencing) {
-        Log::info("stage_order_withheld", {{"engine", engine.id.value()}, {"reason", "the lease ended"}});
+        Log::info("stage_order_withheld", {{"engine", engine.id.value()}, {"reason", "the lease expired"}});
         this->announce({id, Duration(0)});
         return;
     }
--- a/programs/gateway/stageorders.h
+++ b/programs/gateway/stageorders.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Moves engines of generating services between reading prompts and writing answers, on the host that may give orders.
+// Moves engines of generating services between prefill and decode. Active only on the host that may give orders.
 //
 //     StageOrders orders(services, gates);
 //     orders.onTick(store, now);          // several times a second
@@ -15,7 +15,7 @@
 class StageOrders
 {
 public:
-    // Tells all hosts that an engine takes no work for a while.
+    // Notifies all hosts that an engine accepts no work for a while.
     using Announce = std::function<void(const peer::EngineChanging &)>;
 
     StageOrders(const GatewayServices &gatewayServices, Announce announceChange)
@@ -27,7 +27,7 @@
     void onTick(const StoreWatcher &store, Instant now);
 
 private:
-    // An engine that was ordered to change and does not show it in the registry yet.
+    // An order to an engine whose registry row does not show the new stage yet.
     struct Order {
         EndpointPart to = EndpointPart::Decode;
         Instant at;
@@ -39,7 +39,7 @@
     struct Service {
         PoolPlan plan;
         std::map<EndpointId, Order> ordered;
-        std::map<std::string, Seen> seen; // by address: engines that take work or did so within `missingLimit`
+        std::map<std::string, Seen> seen; // by address: engines that accept work, or did within `missingLimit`
     };
 
     static bool isPending(const Service &service, const EndpointRecord &engine, Instant now);
@@ -55,7 +55,7 @@
 
     const GatewayServices &services;
     Announce announce;
-    std::map<ServiceId, Service> plans; // of the generating services that the configuration names or named
+    std::map<ServiceId, Service> plans; // of generating services of the current or an earlier configuration
 };
 
 } // namespace fescuesill
--- a/programs/gateway/storewatcher.cpp
+++ b/programs/gateway/storewatcher.cpp
@@ -1,14 +1,14 @@
-// The leader follows the tables and hands their changes on to all other hosts, which read the store themselves only
-// while they have no leader that can: a fleet of 75 hosts that all followed both tables made 150 calls a second, and
-// one leader makes four. Rows of the registry go with the news, and so does a small change of the configuration; after
-// a large one each host reads the row.
+// The leader watches the tables and forwards their changes to all other hosts, which read the store themselves only if
+// no leader can: in a fleet of 75 hosts, watching both tables on every host took 150 calls a second, and one leader
+// makes four. Updates contain the changed rows of the registry and small changes of the configuration; after a large
+// change of the configuration each host reads the row.
 //
-// Each table is read whole once and then followed from that version. A gap in the store's history, or a failed list,
-// leads back to the whole list; any other fault is tried again from the same version, so no change is missed.
+// Each table is listed once and then followed from that version by long polls. After a gap in the store's history or a
+// failed list, the whole table is listed again; after any other failure, the poll is retried from the same version, so
+// no change is missed.
 //
-// The wait of one call is half of the contact time. A connection that went silent without a reset shows only as a reply
-// that is late; waiting longer would leave this host unaware of a leaving endpoint for longer than its callers can
-// bear.
+// A long poll waits for half of the contact limit. A connection that went silent without a reset is noticed only by a
+// late reply; a longer wait would leave this host unaware of a leaving endpoint for longer than callers can tolerate.
 
 #include "programs/gateway/storewatcher.h"
 
@@ -28,12 +28,12 @@
 namespace
 {
 
-constexpr Duration replyLimit{600ms}; // beyond the wait; a slow store answers in some hundred milliseconds
-constexpr Duration pauseAfterFault{250ms}; // a store that refuses is asked four times a second by each table
-constexpr Duration leaderWait{500ms}; // a quarter of the time within which a change must be in force everywhere
-constexpr Duration relayedPause{10s}; // ended by whatever ends the relay
-constexpr std::size_t maxNewFollowers = 4096; // hosts of a fleet that link to a new leader at the same moment
-constexpr Duration pauseWhenFull{5ms}; // the forwarding thread drains its ring in well under that
+constexpr Duration replyLimit{600ms}; // after the wait; a slow store replies within a few hundred milliseconds
+constexpr Duration pauseAfterFault{250ms}; // a store that refuses is called four times a second for each table
+constexpr Duration leaderWait{500ms}; // a quarter of the time in which a change must take effect everywhere
+constexpr Duration relayedPause{10s}; // cancelled when the leader stops forwarding
+constexpr std::size_t maxNewFollowers = 4096; // hosts that connect to a new leader at the same time
+constexpr Duration pauseWhenFull{5ms}; // the forwarding thread drains its ring in much less
 
 constexpr const char *leaseTable = "leases";
 constexpr const char *leaseKey = "placing";
@@ -87,7 +87,7 @@
     }
 }
 
-// A ring that is full is a moment's matter: the other side drains it without waiting for anything.
+// Blocks while the ring is full. This is short, because the other side drains it without waiting for anything.
 void StoreWatcher::push(const StoreUpdate &update)
 {
     while (!this->isStopping) {
@@ -149,7 +149,7 @@
     }
 }
 
-// A long reply may take seconds on the leader's link, in which all others would wait for it.
+// A long reply may take seconds on the leader's link. Followers are notified of a slow read so that they don't wait.
 void StoreWatcher::beginRead(Table table, Duration expected)
 {
     FollowedTable &followed = this->stateOf(table);
@@ -211,7 +211,7 @@
     }
     const char *name = nameOf(table == Table::Config);
     const bool isWhole = !followed.version;
-    // The leader learns of a silent connection sooner, since all others wait for it.
+    // The leader must detect a silent connection sooner, since all other hosts depend on it.
     const Duration wait =
         this->isLeading() ? std::min(leaderWait, this->options.contactLimit / 2) : this->options.contactLimit / 2;
     this->beginRead(table, isWhole ? replyLimit : wait + replyLimit);
@@ -223,7 +223,7 @@
         this->reportAvailability(false, table, {});
     }
     if (followed.isRelayed && read.version < followed.version.value_or(0)) {
-        return; // the leader's news overtook this reply
+        return; // an update from the leader is newer than this reply
     }
     const std::int64_t before = followed.version.value_or(0);
     followed.version = read.version;
@@ -282,8 +282,8 @@
     }
 }
 
-// A follower has read the whole table itself and is handed what came since. One that is behind what is kept here, or
-// ahead of this host, goes on reading the store and asks again.
+// A new follower has read the whole table itself and receives the changes since then. One that is older than the
+// changes kept here, or ahead of this host, continues to read the store and sends its request again.
 void StoreWatcher::updateNewFollowers()
 {
     const bool isBehind = this->registry.isLost || this->config.isLost || this->registry.isSlow || this->config.isSlow;
@@ -315,13 +315,13 @@
     asio::post(this->io, [this, update] {
         const std::int64_t has = this->registry.version.value_or(-1);
         if (static_cast<std::int64_t>(update.after) > has) {
-            this->setRelayed(Table::Registry, false); // something between is missing; LeaderLink asks for it
+            this->setRelayed(Table::Registry, false); // changes in between are missing; LeaderLink requests them
             return;
         }
         std::vector<StoreRow> rows;
         for (const peer::RegistryRow &row : update.rows) {
             const auto version = static_cast<std::int64_t>(row.version);
-            if (version > has) { // an older one would bring endpoints back that have left
+            if (version > has) { // an older row would restore endpoints that have left
                 rows.push_back({row.key, row.value, version, row.isRemoved});
             }
         }
@@ -345,9 +345,9 @@
         }
         const bool isRowNeeded = outcome == ConfigReplica::UpdateOutcome::RowNeeded;
         if (isRowNeeded) {
-            this->config.version.reset(); // read it whole, then rest again
+            this->config.version.reset(); // list the table, then wait for updates again
         }
-        // takeConfig() sets this again after the read; until then the table is followed from here.
+        // After the read takeConfig() sets it to true again; until then this host reads the table itself.
         this->setRelayed(Table::Config, !isRowNeeded);
         this->configAtLeader = RowVersion(static_cast<std::int64_t>(update.rowVersion));
     });
@@ -374,7 +374,7 @@
 {
     asio::post(this->io, [this, isReachable] {
         this->leadership.onLeaderSeen(isReachable);
-        this->mustReportLeader = !isReachable; // also where the same host leads again
+        this->mustReportLeader = !isReachable; // even if the same host leads again
         this->leadTimer.cancel();
     });
     if (!isReachable) {
@@ -390,7 +390,7 @@
     });
 }
 
-// The forwarding thread is told where this changes for it: another holder, or this host's lease begun or over.
+// Notifies the forwarding thread of a new holder, or when this host's own lease begins or ends.
 void StoreWatcher::reportLeader()
 {
     const auto &row = this->leadership.holder();
@@ -428,7 +428,7 @@
         if (version) {
             this->leadership.onWritten(RowVersion(*version), sent);
         } else {
-            this->leadership.onFailed(bootNow() - this->options.lease); // read at once who was first
+            this->leadership.onFailed(bootNow() - this->options.lease); // read at once which host was first
         }
         return;
     }
@@ -459,7 +459,7 @@
             this->leadership.onFailed(bootNow());
         }
         const auto until = this->leadership.ordersUntil(bootNow());
-        // The number before the permission: whoever sees the permission sees its number.
+        // The number is stored before the deadline, so a thread that sees the new deadline also sees its number.
         this->orderFencing = this->leadership.version().value();
         this->ordersUntil = until ? until->time_since_epoch().count() : 0;
         this->reportLeader();
@@ -494,7 +494,7 @@
     }
     auto record = decodeRegistryRow(row.key, row.value);
     if (!record) {
-        // Whoever wrote it, there is no endpoint to use under this id any more.
+        // Whoever wrote the row, this id no longer names a usable endpoint.
         Log::warning("registry_row_skipped", {{"key", row.key}, {"reason", record.error().text}});
         this->push(store_update::Removed{EndpointId(row.key)});
         return;
@@ -536,7 +536,7 @@
         this->push(store_update::PeerUpdate{step ? updateOf(*step) : this->configSummary(), std::nullopt});
     }
     if (this->configAtLeader && this->replica.row() >= *this->configAtLeader) {
-        this->setRelayed(Table::Config, true); // the leader will notify of the next version
+        this->setRelayed(Table::Config, true); // the leader will announce the next version
     }
 }
 
--- a/programs/gateway/storewatcher.h
+++ b/programs/gateway/storewatcher.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// The thread that follows the users' store and tells the forwarding thread what changed.
+// Watches the users' store on its own thread and reports changes to the forwarding thread through a ring.
 //
-//     StoreWatcher duty({settings.store, settings.contactLimit}, ring);
+//     StoreWatcher watcher({settings.store, settings.contactLimit}, ring);
 //     ... ring.tryPop() on the other side ...
-//     duty.stop();
+//     watcher.stop();
 
 #include "decide/routingconfig.h"
 #include "programs/gateway/configreplica.h"
@@ -43,18 +43,18 @@
 struct Removed {
     EndpointId id;
 };
-// Who leads, as the lease last said; none while nobody is known to.
+// The current leader, according to the last read of the lease; empty if none is known.
 struct Leader {
     std::optional<LeaseRow> holder;
     bool isSelf = false;
-    RowVersion term; // of the lease
+    RowVersion term; // the version of the lease
 };
-// For the hosts that follow this one; of the leader only.
+// A message for the hosts that follow this one. Sent only by the leader.
 struct PeerUpdate {
     peer::Message message;
-    std::optional<LinkId> follower; // all where empty
+    std::optional<LinkId> follower; // to all if empty
 };
-// The registry can't be read, and can be read again.
+// The registry can't be read, or can be read again.
 struct Lost {
 };
 struct Restored {
@@ -75,7 +75,7 @@
     struct Options {
         std::string address;
         Duration contactLimit{3s};
-        LeaseRow self; // under which this host may lead; an empty address: it never does
+        LeaseRow self; // the row that this host writes to lead; with an empty address it never leads
         Duration lease{3s};
     };
 
@@ -85,28 +85,28 @@
     StoreWatcher &operator=(const StoreWatcher &) = delete;
 
     void stop();
-    // All safe on any thread.
-    // Whether this host hears from the leader.
+    // The functions below may be called on any thread.
+    // Sets whether the leader is reachable from this host.
     void setLeaderReachable(bool isReachable);
-    // This host stops: it leads no more.
+    // Gives up the leadership, since this host is stopping.
     void release();
-    // The leader hands on changes: this host reads the store itself only where the leader cannot.
+    // Updates from the leader. While they arrive, this host does not read the store itself.
     void onUpdate(const peer::RegistryNews &update);
     void onUpdate(const peer::ConfigNews &update);
     void onConfigDelayed();
     void onLeaderLostStore();
-    // A host that follows this one has all up to a version.
+    // Adds a host that follows this one and has all changes up to `version`.
     void addFollower(LinkId link, std::uint64_t version);
-    // Since the registry was last read, or its news came, by this thread.
+    // Time since this thread last read the registry or received an update of it.
     Duration registryAge() const;
-    // With which number this host may give orders now; none where it may not. Asked right before each order.
+    // The fencing number for an order sent now; empty if this host may not give orders. Called right before each order.
     std::optional<FencingNumber> fencingForOrder() const;
-    // Whether the leader hands on the registry's changes.
+    // Whether the leader forwards the registry's changes.
     bool isRelayed() const
     {
         return this->relayed;
     }
-    // The store's version up to which this host has all.
+    // The version of the store up to which this host has all changes.
     std::uint64_t knownVersion() const
     {
         return this->known;
@@ -118,7 +118,7 @@
         Registry,
     };
 
-    // One table as this host has it.
+    // The state of one table on this host.
     struct FollowedTable {
         FollowedTable(asio::io_context &io)
             : pauseTimer(io)
@@ -126,13 +126,13 @@
         {
         }
 
-        std::optional<std::int64_t> version; // all changes up to it are here
+        std::optional<std::int64_t> version; // all changes up to it are applied
         bool isLost = false;
-        int failures = 0; // reads in a row
-        Instant readStart; // when the last read began; one that follows also waits for a change
-        bool isRelayed = false; // the leader hands on its changes
+        int failures = 0; // consecutive failed reads
+        Instant readStart; // of the last read; a long poll includes the wait for a change
+        bool isRelayed = false; // the leader forwards its changes
         bool isReading = false;
-        bool isSlow = false; // the read that is under way
+        bool isSlow = false; // the current read exceeds its expected time
         asio::steady_timer pauseTimer;
         asio::steady_timer slowTimer;
     };
@@ -174,17 +174,17 @@
     std::atomic<std::int64_t> registryRead{0}; // microseconds of the steady clock
     std::atomic<std::int64_t> ordersUntil{0}; // microseconds of the clock that counts suspension
     std::atomic<std::int64_t> orderFencing{0};
-    // Of the duty's own thread, like all below.
+    // The members below are used only by the watcher's thread.
     FollowedTable config;
     FollowedTable registry;
-    RecentRows recent; // of the registry, for followers that are a little behind
+    RecentRows recent; // of the registry, for followers that are a few changes behind
     ConfigReplica replica;
-    std::optional<RowVersion> configAtLeader; // the newest row that the leader notified of
-    std::map<LinkId, std::uint64_t> newFollowers; // not answered yet, with the version that each has
+    std::optional<RowVersion> configAtLeader; // the newest row that the leader announced
+    std::map<LinkId, std::uint64_t> newFollowers; // without a reply yet, with the version that each has
     Leadership leadership;
     asio::steady_timer leadTimer;
     store_update::Leader reportedLeader;
-    bool mustReportLeader = false; // at the next read of the lease, whoever holds it
+    bool mustReportLeader = false; // after the next read of the lease, even if the holder is unchanged
     std::thread thread;
 };
 
--- a/programs/gateway/testing/configreplica_test.cpp
+++ b/programs/gateway/testing/configreplica_test.cpp
@@ -22,7 +22,7 @@
     return route;
 }
 
-// `weights` by place; a place without a weight has no route.
+// `weights` is indexed by place; a place without a weight has no route.
 Config configOf(std::int64_t version, const std::map<int, int> &weights)
 {
     std::vector<Route> routes;
@@ -45,7 +45,7 @@
     return configOf(version, weights);
 }
 
-// What a leader that reads these rows one after the other sends to its followers.
+// The updates that a leader sends to its followers when it reads these rows in order.
 std::vector<peer::ConfigNews> updatesOfLeader(const std::vector<std::pair<std::int64_t, Config>> &rows)
 {
     ConfigReplica leader;
@@ -75,7 +75,7 @@
     EXPECT_EQ(follower.takeUpdate(sent[0]), ConfigReplica::UpdateOutcome::Known);
 }
 
-TEST(ConfigReplica, HasALargeChangeReadFromTheStore)
+TEST(ConfigReplica, ReadsALargeChangeFromTheStore)
 {
     const auto sent = updatesOfLeader({{40, configWith(11, 10)}, {44, configWith(14, 5000)}});
     EXPECT_TRUE(sent[1].change.empty());
@@ -84,8 +84,8 @@
     EXPECT_EQ(follower.takeUpdate(sent[1]), ConfigReplica::UpdateOutcome::RowNeeded);
 }
 
-// Guards against a host that reads a large row for so long that the next change has come, and then reads it all again.
-TEST(ConfigReplica, AppliesAChangeThatOvertookTheRowItLeadsOnFrom)
+// Guards against reading a large row twice because the next change arrives while the first read is still running.
+TEST(ConfigReplica, AppliesAChangeThatArrivedBeforeItsBaseRow)
 {
     const Config large = configWith(14, 5000);
     const auto sent = updatesOfLeader({{40, configWith(11, 10)}, {44, large}, {48, configWith(18, 5001)}});
@@ -99,8 +99,8 @@
     EXPECT_EQ(follower.row(), RowVersion(48));
 }
 
-// Guards against an old row or an old leader that brings a configuration back.
-TEST(ConfigReplica, NeverReturnsToAnEarlierRow)
+// Guards against reverting to an earlier configuration after a late read or an update from a former leader.
+TEST(ConfigReplica, NeverRevertsToAnEarlierRow)
 {
     ConfigReplica replica;
     ASSERT_TRUE(replica.takeRow(RowVersion(44), configWith(14, 3)));
@@ -129,9 +129,9 @@
     EXPECT_EQ(replica.config()->version, ConfigVersion(12));
 }
 
-// One follower of a store whose row changes, and of leaders that each read some of the rows. News is lost, doubled and
-// out of order; reads of the store end after news that came later. The follower must be at exactly the row that it
-// names, never go back, and have the last row once it has read what it was asked to.
+// One follower of a store whose row changes, with leaders that each read some of the rows. Updates are lost, duplicated
+// and reordered, and reads of the store complete after newer updates. The follower's configuration must always equal
+// the row that it names, never revert, and equal the last row once the follower has read the rows that it needs.
 RC_GTEST_PROP(ConfigReplica, IsAlwaysAtOneRowOfTheStore, ())
 {
     std::map<std::int64_t, Config> rows;
--- a/programs/gateway/testing/recentrows_test.cpp
+++ b/programs/gateway/testing/recentrows_test.cpp
@@ -20,20 +20,21 @@
     }
 }
 
-// A host reads the table, falls behind by some changes, and links to the leader. What the leader hands it must bring it
-// to exactly the leader's state, or it is told nothing and reads the table again; never a state in between.
+// A host reads the table, falls behind by some changes and connects to the leader. The rows that the leader sends must
+// bring it to exactly the leader's state. If the leader no longer has them all, it sends nothing and the host reads the
+// table again.
 RC_GTEST_PROP(RecentRows, BringAHostThatIsBehindToTheSameState, ())
 {
     RecentRows recent;
     Table leader;
-    std::map<std::int64_t, Table> states; // by version, as a host may have read them
+    std::map<std::int64_t, Table> states; // by version, as a host may have read the table
     std::int64_t version = *rc::gen::inRange<std::int64_t>(1, 1000);
     recent.restart(version);
     states[version] = leader;
     const int transactions = *rc::gen::inRange(1, 300);
     for (int number = 0; number < transactions; ++number) {
         const std::int64_t before = version;
-        version += *rc::gen::inRange(1, 4); // other tables count with the same numbers
+        version += *rc::gen::inRange(1, 4); // other tables use the same sequence of versions
         std::vector<peer::RegistryRow> rows;
         const int changed = *rc::gen::inRange(1, 6);
         for (int each = 0; each < changed; ++each) {
@@ -62,7 +63,7 @@
     RC_ASSERT(!recent.covers(version + 1));
 }
 
-TEST(RecentRows, ServesNobodyThatIsTooFarBehind)
+TEST(RecentRows, DoesNotServeAHostThatIsTooFarBehind)
 {
     RecentRows recent;
     recent.restart(10);
