--- a/programs/gateway/configreplica.h
+++ b/programs/gateway/configreplica.h
@@ -5,7 +5,7 @@
 //     ConfigReplica replica;
 //     if (const auto step = replica.takeRow(row, decoded)) {        // read from the store
 //         use(step->config);
-//         send(updateOf(*step));                                // on the leader, to its followers
+//         send(updateOf(*step));                                    // on the leader, to its followers
 //     }
 //     if (replica.takeUpdate(update) == ConfigReplica::UpdateOutcome::RowNeeded) { ... read the row ... }
 
--- a/programs/gateway/gatewayprogram.cpp
+++ b/programs/gateway/gatewayprogram.cpp
@@ -20,10 +20,10 @@
 namespace
 {
 
-constexpr std::size_t updateRingSize =
-    1024; // rows of the store that may change between two turns of the forwarding thread
-constexpr Duration tickInterval{
-    100ms}; // for time-based work: the grace period of vanished endpoints, the graceful stop
+// Rows of the store that may change between two turns of the forwarding thread.
+constexpr std::size_t updateRingSize = 1024;
+// For time-based work: the grace period of vanished endpoints, the graceful stop.
+constexpr Duration tickInterval{100ms};
 constexpr Duration retryAfterWithoutConfig{1s}; // a newly started host reads its configuration within this
 constexpr Duration retryAfterWhenStopping{100ms}; // the next connection goes to another host
 constexpr Bytes requestLineAllowance{4 << 10}; // for the request line, added to the limit on headers
--- a/programs/gateway/generationforward.cpp
+++ b/programs/gateway/generationforward.cpp
@@ -240,14 +240,14 @@
     return Outcome::Whole;
 }
 
-GenerationForward::Outcome GenerationForward::generate(const Place &place, const std::optional<Prefill> &read,
+GenerationForward::Outcome GenerationForward::generate(const Place &place, const std::optional<Prefill> &prefilled,
                                                        const asio::yield_context &yield)
 {
     const auto &services = this->call.services;
     GenerationStart start{place.engine.id, {}, {}, place.reservation, this->events.lastEvent()};
-    if (read) {
-        start.prefillAddress = read->address;
-        start.result = read->result;
+    if (prefilled) {
+        start.prefillAddress = prefilled->address;
+        start.result = prefilled->result;
     }
     const HttpRequest request = generationRequest(this->call.http, start, this->call.timeLeft());
     ++this->sends;
@@ -280,7 +280,7 @@
 }
 
 // Runs in the background. A reservation or result that is not released expires, but blocks other callers until then.
-void GenerationForward::release(const Place &place, const std::optional<Prefill> &read)
+void GenerationForward::release(const Place &place, const std::optional<Prefill> &prefilled)
 {
     HttpClient &client = this->call.services.client;
     const auto sendRelease = [&](const std::string &address, const HttpRequest &request) {
@@ -293,8 +293,8 @@
         });
     };
     sendRelease(place.engine.address, releaseRequest(place.reservation));
-    if (read) {
-        sendRelease(read->address, dropResultRequest(read->result));
+    if (prefilled) {
+        sendRelease(prefilled->address, dropResultRequest(prefilled->result));
     }
 }
 
@@ -316,18 +316,18 @@
     }
     this->engine = place->engine.id;
     this->times.placed = steadyNow() - this->call.arrival;
-    std::optional<Prefill> read;
+    std::optional<Prefill> prefilled;
     try {
         if (!this->isSelfPrefilled) {
-            read = this->prefill(*place, yield);
+            prefilled = this->prefill(*place, yield);
         }
-        this->isSelfPrefilled = !read;
+        this->isSelfPrefilled = !prefilled;
         this->times.prefilled = steadyNow() - this->call.arrival;
-        const Outcome ended = this->generate(*place, read, yield);
+        const Outcome ended = this->generate(*place, prefilled, yield);
         if (ended == Outcome::NotRun) {
-            this->release(*place, read);
+            this->release(*place, prefilled);
         }
-        const bool isResultLost = ended == Outcome::NotRun && read;
+        const bool isResultLost = ended == Outcome::NotRun && prefilled;
         if (isResultLost) {
             this->reportLostResult(*place);
         }
@@ -339,7 +339,7 @@
         return ended;
     } catch (const CallerGone &) {
         if (this->sends == 0) {
-            this->release(*place, read);
+            this->release(*place, prefilled);
         }
         throw;
     }
@@ -353,11 +353,11 @@
     if (this->call.timeLeft() <= 0ms) {
         return NoRetry::NoTime;
     }
-    const bool mayStartAnew = ended == Outcome::NotRun && !this->isStarted;
-    if (!mayStartAnew && !(ended == Outcome::Broken && this->call.route.isResumable)) {
+    const bool mayRestart = ended == Outcome::NotRun && !this->isStarted;
+    if (!mayRestart && !(ended == Outcome::Broken && this->call.route.isResumable)) {
         return NoRetry::NotRepeatable;
     }
-    const int allowed = std::max(this->call.route.attempts, mayStartAnew ? 2 : 1);
+    const int allowed = std::max(this->call.route.attempts, mayRestart ? 2 : 1);
     if (this->sends >= allowed) {
         return NoRetry::Attempts;
     }
--- a/programs/gateway/leaderlink.cpp
+++ b/programs/gateway/leaderlink.cpp
@@ -20,8 +20,8 @@
 // To all followers together. Larger updates would delay placements on a leader with a slow link; followers read the
 // store instead, which has the bandwidth.
 constexpr std::size_t maxChangeFanOutBytes = 256 << 10;
-constexpr Duration followRequestInterval{
-    1s}; // a message of a few bytes; until it succeeds, this host reads the store itself
+// A message of a few bytes; until it succeeds, this host reads the store itself.
+constexpr Duration followRequestInterval{1s};
 
 } // namespace
 
--- a/programs/gateway/placementgates.cpp
+++ b/programs/gateway/placementgates.cpp
@@ -148,7 +148,7 @@
 
 void PlacementGates::deliver(const GateAction &action)
 {
-    const RequestId &id = std::visit([](const auto &made) -> const RequestId & { return made.id; }, action);
+    const RequestId &id = std::visit([](const auto &decided) -> const RequestId & { return decided.id; }, action);
     if (const auto local = this->localGenerations.find(id); local != this->localGenerations.end()) {
         this->decide(*local->second, action);
         return;
@@ -210,7 +210,7 @@
     return decision;
 }
 
-void PlacementGates::apply(Gate &gate, const RequestId &id, peer::PlaceEvent event, Tokens made)
+void PlacementGates::apply(Gate &gate, const RequestId &id, peer::PlaceEvent event, Tokens output)
 {
     const Instant now = steadyNow();
     switch (event) {
@@ -234,13 +234,13 @@
         break;
     case peer::PlaceEvent::Ended:
     case peer::PlaceEvent::EndedByFault:
-        gate.core.onEnded(id, event == peer::PlaceEvent::EndedByFault, made, now);
+        gate.core.onEnded(id, event == peer::PlaceEvent::EndedByFault, output, now);
         break;
     }
     this->poll(gate);
 }
 
-void PlacementGates::report(const ServiceId &service, const RequestId &id, peer::PlaceEvent event, Tokens made)
+void PlacementGates::report(const ServiceId &service, const RequestId &id, peer::PlaceEvent event, Tokens output)
 {
     const auto found = this->localGenerations.find(id);
     if (found == this->localGenerations.end()) {
@@ -254,12 +254,12 @@
     }
     Gate &gate = this->gate(service);
     if (this->uplink) {
-        this->uplink(peer::PlaceReport{id, service, event, made});
+        this->uplink(peer::PlaceReport{id, service, event, output});
     }
     if (event == peer::PlaceEvent::Reserved && this->uplink) {
         gate.core.adopt(local->request, local->engine, local->since);
     } else {
-        this->apply(gate, id, event, made);
+        this->apply(gate, id, event, output);
     }
     if (isRetry) {
         local->engine = EngineId();
--- a/programs/gateway/placementgates.h
+++ b/programs/gateway/placementgates.h
@@ -36,7 +36,7 @@
     // Waits for the next decision after an engine was full or failed.
     GateAction nextDecision(const RequestId &id, const asio::yield_context &yield);
     // Reports an event of the placement of a generation of this host.
-    void report(const ServiceId &service, const RequestId &id, peer::PlaceEvent event, Tokens made = Tokens(0));
+    void report(const ServiceId &service, const RequestId &id, peer::PlaceEvent event, Tokens output = Tokens(0));
     // Ends a wait at once, since the caller disconnected.
     void cancelWait(const RequestId &id);
     // Engines were added, removed or changed.
@@ -107,16 +107,16 @@
     void deliver(const GateAction &action);
     void decide(LocalGeneration &local, const GateAction &action);
     void submit(LocalGeneration &local);
-    void apply(Gate &gate, const RequestId &id, peer::PlaceEvent event, Tokens made);
+    void apply(Gate &gate, const RequestId &id, peer::PlaceEvent event, Tokens output);
 
     asio::io_context &io;
     FleetView &fleet;
     std::uint64_t seed;
     std::map<ServiceId, Gate> gates; // of generating services of the current or an earlier configuration
-    std::unordered_map<RequestId, std::shared_ptr<LocalGeneration>>
-        localGenerations; // bounded by the number of callers' connections
-    std::unordered_map<RequestId, RemoteGeneration>
-        remoteGenerations; // bounded by the callers' connections of all hosts
+    // Bounded by the number of callers' connections.
+    std::unordered_map<RequestId, std::shared_ptr<LocalGeneration>> localGenerations;
+    // Bounded by the callers' connections of all hosts.
+    std::unordered_map<RequestId, RemoteGeneration> remoteGenerations;
     Send uplink;
     bool isSuspended = false;
     double share = 1;
--- a/programs/gateway/stageorders.cpp
+++ b/programs/gateway/stageorders.cpp
@@ -16,8 +16,8 @@
 {
 
 constexpr Duration orderLimit{500ms}; // one short call
-constexpr Duration announcementDelay{
-    200ms}; // for prefills already on their way to the engine when the change was announced
+// For prefills already on their way to the engine when the change was announced.
+constexpr Duration announcementDelay{200ms};
 constexpr Duration maxOrderDelay{12s}; // until an order without a reply takes effect
 constexpr Duration minOrderInterval{15s}; // between two orders to one engine
 constexpr Duration changeMargin{2s}; // for work that still runs there, and until the registry shows the change
@@ -165,7 +165,7 @@
     timer.async_wait(yield[ignored]);
     const auto fencing = store.fencingForOrder();
     if (!fencing) {
-        Log::info("stage_order_withheld", {{"engine", engine.id.value()}, {"reason", "the lease expired"}});
+        Log::info("stage_order_withheld", {{"engine", engine.id.value()}, {"reason", "the lease ended"}});
         this->announce({id, Duration(0)});
         return;
     }
