--- a/programs/gateway/configreplica.cpp
+++ b/programs/gateway/configreplica.cpp
@@ -1,9 +1,9 @@
-// A change applies to the one row that it was made from, and its result is compared with the digest of the row that it
-// leads to. So a host is at one row of the store or at another, never between two, whatever news it missed, got twice
-// or late. Only later rows are taken, so nothing reverts.
+// A change applies only to the row that it was computed from, and its result is compared with the digest of the target
+// row. The replica therefore always equals exactly one row of the store, even if updates are lost, duplicated or late.
+// Only later rows are accepted, so the configuration never reverts.
 //
-// News may overtake a read of the row that it leads on from: a large row takes seconds on a slow link. Such a change
-// waits for the row, which then need not be read once more.
+// An update may arrive before the read of its base row completes, because a large row takes seconds on a slow link.
+// Such a change is kept until the base row has been read, so that the row need not be read a second time.
 
 #include "programs/gateway/configreplica.h"
 
@@ -15,7 +15,7 @@
 namespace
 {
 
-// More routes are read from the store, which has more room on its links than a leader has on its own.
+// Larger changes are read from the store, whose links have more bandwidth than the leader's.
 constexpr std::size_t mostChangedRoutes = 500;
 
 std::uint64_t numberOf(RowVersion row)
@@ -30,16 +30,16 @@
 
 } // namespace
 
-peer::ConfigNews newsOf(const ConfigStep &step)
+peer::ConfigNews updateOf(const ConfigStep &step)
 {
-    peer::ConfigNews news{numberOf(step.row), numberOf(step.beforeRow), {}};
+    peer::ConfigNews update{numberOf(step.row), numberOf(step.beforeRow), {}};
     if (step.before) {
         const RoutingChange change = changeBetween(*step.before, *step.config);
         if (change.set.size() + change.removed.size() <= mostChangedRoutes) {
-            news.change = encodeRoutingChange(change);
+            update.change = encodeRoutingChange(change);
         }
     }
-    return news;
+    return update;
 }
 
 std::optional<ConfigStep> ConfigReplica::takeRow(RowVersion row, std::shared_ptr<const RoutingConfig> decoded)
@@ -54,33 +54,33 @@
     ConfigStep step{this->heldRow, this->held, row, decoded};
     this->held = std::move(decoded);
     this->heldRow = row;
-    this->applyWaiting();
+    this->applyPendingChanges();
     step.row = this->heldRow;
     step.config = this->held;
     return step;
 }
 
-ConfigReplica::NewsOutcome ConfigReplica::takeNews(const peer::ConfigNews &news)
+ConfigReplica::UpdateOutcome ConfigReplica::takeUpdate(const peer::ConfigNews &update)
 {
-    const RowVersion row = rowOf(news.rowVersion);
+    const RowVersion row = rowOf(update.rowVersion);
     if (row <= this->newestRow) {
-        return NewsOutcome::Known;
+        return UpdateOutcome::Known;
     }
-    if (news.change.empty()) {
-        return NewsOutcome::RowNeeded;
+    if (update.change.empty()) {
+        return UpdateOutcome::RowNeeded;
     }
-    const RowVersion from = rowOf(news.after);
+    const RowVersion from = rowOf(update.after);
     if (this->held && from == this->heldRow) {
-        if (!this->apply(row, news.change)) {
-            return NewsOutcome::RowNeeded;
+        if (!this->apply(row, update.change)) {
+            return UpdateOutcome::RowNeeded;
         }
-        this->applyWaiting();
-        return NewsOutcome::Applied;
+        this->applyPendingChanges();
+        return UpdateOutcome::Applied;
     }
-    if (this->waiting.size() < mostWaiting) {
-        this->waiting.insert_or_assign(from, Waiting{row, news.change});
+    if (this->pendingChanges.size() < maxPendingChanges) {
+        this->pendingChanges.insert_or_assign(from, PendingChange{row, update.change});
     }
-    return NewsOutcome::RowNeeded;
+    return UpdateOutcome::RowNeeded;
 }
 
 bool ConfigReplica::apply(RowVersion row, const std::string &change)
@@ -107,13 +107,13 @@
     return true;
 }
 
-void ConfigReplica::applyWaiting()
+void ConfigReplica::applyPendingChanges()
 {
-    this->waiting.erase(this->waiting.begin(), this->waiting.lower_bound(this->heldRow));
-    for (auto next = this->waiting.find(this->heldRow); next != this->waiting.end();
-         next = this->waiting.find(this->heldRow)) {
-        const Waiting change = std::move(next->second);
-        this->waiting.erase(next);
+    this->pendingChanges.erase(this->pendingChanges.begin(), this->pendingChanges.lower_bound(this->heldRow));
+    for (auto next = this->pendingChanges.find(this->heldRow); next != this->pendingChanges.end();
+         next = this->pendingChanges.find(this->heldRow)) {
+        const PendingChange change = std::move(next->second);
+        this->pendingChanges.erase(next);
         if (change.row <= this->newestRow || !this->apply(change.row, change.change)) {
             return;
         }
--- a/programs/gateway/fleetview.cpp
+++ b/programs/gateway/fleetview.cpp
@@ -14,8 +14,8 @@
 {
 }
 
-// Versions arrive from one row, but a read that was under way may end after a newer one: the older is ignored, so what
-// is in force here never goes back.
+// A read that was already running may complete after a newer one. The older configuration is ignored, so the active
+// configuration never reverts.
 void FleetView::takeConfig(const std::shared_ptr<const RoutingConfig> &read)
 {
     if (this->config != nullptr && read->version <= this->config->version) {
@@ -26,12 +26,12 @@
     this->config = read;
 }
 
-void FleetView::take(const StoreUpdate &update, Instant now)
+void FleetView::apply(const StoreUpdate &update, Instant now)
 {
     std::visit(
         Overloaded{[&](const store_update::Config &read) { this->takeConfig(read.config); },
                    [&](const store_update::Listed &listed) {
-                       this->isListed = true;
+                       this->hasEndpointList = true;
                        this->registry.onListed(listed.records, now);
                        Log::info("endpoints_listed", {{"count", static_cast<std::int64_t>(listed.records.size())}});
                    },
@@ -46,13 +46,13 @@
                    },
                    [&](const store_update::Removed &removed) {
                        this->registry.onRemoved(removed.id, now);
-                       this->forgetGone(removed.id);
+                       this->forgetRemoved(removed.id);
                        Log::info("endpoint_removed", {{"endpoint", removed.id.value()}});
                    },
                    [&](const store_update::Lost &) { this->registry.onStoreLost(now); },
-                   [&](const store_update::Back &) { this->registry.onStoreBack(now); },
+                   [&](const store_update::Restored &) { this->registry.onStoreBack(now); },
                    [&](const auto &) {
-                   }}, // of the links
+                   }}, // handled by LeaderLink
         update);
 }
 
@@ -107,7 +107,7 @@
     return places;
 }
 
-void FleetView::forgetGone(const EndpointId &id)
+void FleetView::forgetRemoved(const EndpointId &id)
 {
     if (this->registry.find(id) == nullptr) {
         this->plainPicker.forget(id);
--- a/programs/gateway/gatewayprogram.cpp
+++ b/programs/gateway/gatewayprogram.cpp
@@ -1,5 +1,5 @@
-// Two threads: one forwards (callers, endpoints and the decisions between them share it, so no decision waits for a
-// lock), one follows the store. They are joined by a ring of updates.
+// The process has one thread that forwards calls and one that watches the store, connected by a ring of updates.
+// Callers, endpoints and all decisions share the forwarding thread, so no decision waits for a lock.
 
 #include "programs/gateway/gatewayprogram.h"
 
@@ -20,17 +20,19 @@
 namespace
 {
 
-constexpr std::size_t updateRing = 1024; // rows of the store between two turns of the forwarding thread
-constexpr Duration tick{100ms}; // of what is due by time alone: grace of vanished endpoints, the planned stop
-constexpr Duration comeBackWithoutConfig{1s}; // a host that just started reads its configuration within that
-constexpr Duration comeBackWhenStopping{100ms}; // another host takes the next connection
-constexpr Bytes headerSpace{4 << 10}; // beside the header limit, for the request line
+// Rows of the store that may change between two turns of the forwarding thread.
+constexpr std::size_t updateRingSize = 1024;
+// For time-based work: the grace period of vanished endpoints, the graceful stop.
+constexpr Duration tickInterval{100ms};
+constexpr Duration retryAfterWithoutConfig{1s}; // a newly started host reads its configuration within this
+constexpr Duration retryAfterWhenStopping{100ms}; // the next connection goes to another host
+constexpr Bytes requestLineAllowance{4 << 10}; // for the request line, added to the limit on headers
 
 HttpClient::Options clientOptions(const GatewaySettings &settings)
 {
     HttpClient::Options options;
     options.connections =
-        settings.connections * 2; // a call has one connection to an endpoint at a time, and give-backs
+        settings.connections * 2; // a call uses one connection to an endpoint at a time, and more for releases
     options.connectLimit = settings.connectLimit;
     options.idlePerAddress = 0;
     return options;
@@ -50,7 +52,7 @@
         , draining(Draining::Options{given.announce, given.grace})
         , timer(this->io)
         , signals(this->io, SIGTERM, SIGINT)
-        , updates(updateRing, [this] { asio::post(this->io, [this] { this->takeUpdates(); }); })
+        , updates(updateRingSize, [this] { asio::post(this->io, [this] { this->applyUpdates(); }); })
     {
     }
 
@@ -60,7 +62,7 @@
     void serve(HttpCall &call, HttpReply &reply, const asio::yield_context &yield);
     void forward(HttpCall &call, HttpReply &reply, const asio::yield_context &yield);
     void answerReady(const HttpCall &call, HttpReply &reply, const asio::yield_context &yield);
-    void takeUpdates();
+    void applyUpdates();
     void applyLimits();
     void onChanging(const peer::EngineChanging &change);
     void onTick();
@@ -71,7 +73,7 @@
     std::uint64_t seed;
     asio::io_context io{1};
     FleetView fleet;
-    GateKeeper gates;
+    PlacementGates gates;
     HttpClient client;
     GatewayMetrics metrics;
     GatewayServices services;
@@ -82,21 +84,21 @@
     Ring<StoreUpdate> updates;
     std::unique_ptr<HttpServer> callers;
     std::unique_ptr<HttpServer> ready;
-    std::unique_ptr<LeaderLink> links; // null where the settings name no address for them
-    std::unique_ptr<StoreDuty> store;
-    ConfigVersion limitsOf;
+    std::unique_ptr<LeaderLink> links; // null if the settings have no address for them
+    std::unique_ptr<StoreWatcher> store;
+    ConfigVersion limitsVersion;
     int inProgress = 0;
 };
 
-void Gateway::takeUpdates()
+void Gateway::applyUpdates()
 {
     while (const auto update = this->updates.tryPop()) {
         if (const auto *leader = std::get_if<store_update::Leader>(&*update)) {
             this->links->onLeader(*leader);
-        } else if (const auto *news = std::get_if<store_update::News>(&*update)) {
-            this->links->onNews(*news);
+        } else if (const auto *peerUpdate = std::get_if<store_update::PeerUpdate>(&*update)) {
+            this->links->onUpdate(*peerUpdate);
         } else {
-            this->fleet.take(*update, steadyNow());
+            this->fleet.apply(*update, steadyNow());
         }
     }
     this->fleet.setRegistryVersion(this->store->knownVersion(), steadyNow());
@@ -109,19 +111,19 @@
     this->fleet.setChanging(EndpointId(change.engine.value()), steadyNow() + change.lasts);
     this->gates.onFleetChanged();
     if (this->links) {
-        this->links->onNews({change, std::nullopt});
+        this->links->onUpdate({change, std::nullopt});
     }
 }
 
 void Gateway::applyLimits()
 {
-    const auto &config = this->fleet.inForce();
-    if (!config || config->version == this->limitsOf || !this->callers) {
+    const auto &config = this->fleet.activeConfig();
+    if (!config || config->version == this->limitsVersion || !this->callers) {
         return;
     }
-    this->limitsOf = config->version;
+    this->limitsVersion = config->version;
     HttpServer::Options limits;
-    limits.headerLimit = config->limits.header + headerSpace;
+    limits.headerLimit = config->limits.header + requestLineAllowance;
     limits.bodyLimit = config->limits.body;
     limits.headerLimitTime = config->limits.headerTime;
     limits.idleLimit = config->limits.idle;
@@ -132,11 +134,11 @@
 {
     const Instant arrival = steadyNow();
     const CallHead head = readCallHead(call);
-    const auto config = this->fleet.inForce(); // stays as it is for this call, also where a newer one comes
-    if (!this->fleet.isKnown()) {
+    const auto config = this->fleet.activeConfig(); // used for the whole call, even if a newer one arrives
+    if (!this->fleet.isInitialised()) {
         sendRefusal(
             reply, head.id,
-            {RefusalCode::NoConfiguration, RunState::NotRun, "no configuration read yet", comeBackWithoutConfig},
+            {RefusalCode::NoConfiguration, RunState::NotRun, "no configuration read yet", retryAfterWithoutConfig},
             yield);
         return;
     }
@@ -161,12 +163,12 @@
 void Gateway::serve(HttpCall &call, HttpReply &reply, const asio::yield_context &yield)
 {
     if (!this->draining.isReady()) {
-        reply.closeAfter(); // its caller's next connection goes to a host that stays
+        reply.closeAfter(); // the caller's next connection goes to a host that keeps running
     }
-    // A generation lasts seconds: one taken late in the time to stop would be cut off when it ends.
+    // A generation takes seconds. One admitted late in the grace period would be cut off when the period ends.
     if (!this->draining.admits(steadyNow())) {
         Refusal refusal = drainingRefusal();
-        refusal.retryAfter = comeBackWhenStopping;
+        refusal.retryAfter = retryAfterWhenStopping;
         sendRefusal(reply, readRequestId(call), refusal, yield);
         return;
     }
@@ -183,20 +185,20 @@
 void Gateway::answerReady(const HttpCall &call, HttpReply &reply, const asio::yield_context &yield)
 {
     if (call.target == "/metrics") {
-        const auto &config = this->fleet.inForce();
+        const auto &config = this->fleet.activeConfig();
         this->metrics.set({this->inProgress, this->gates.waiting(), this->gates.placed(),
                            config ? config->version : ConfigVersion(), this->store->registryAge(),
                            this->links && this->links->leads(), this->gates.isFollowing()});
         reply.send(200, this->metrics.text(), yield, {{"Content-Type", "text/plain; version=0.0.4"}});
         return;
     }
-    const bool isReady = this->fleet.isKnown() && this->draining.isReady();
+    const bool isReady = this->fleet.isInitialised() && this->draining.isReady();
     reply.send(isReady ? 200 : 503, isReady ? R"({"ready":true})" : R"({"ready":false})", yield);
 }
 
 void Gateway::armTick()
 {
-    this->timer.expires_after(tick);
+    this->timer.expires_after(tickInterval);
     this->timer.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
             this->onTick();
@@ -266,8 +268,9 @@
         return 1;
     }
     const LeaseRow self{this->settings.host, this->settings.peers, 0};
-    this->store = std::make_unique<StoreDuty>(
-        StoreDuty::Options{this->settings.store, this->settings.contact, self, this->settings.lease}, this->updates);
+    this->store = std::make_unique<StoreWatcher>(
+        StoreWatcher::Options{this->settings.store, this->settings.contactLimit, self, this->settings.lease},
+        this->updates);
     if (this->links) {
         this->links->setStore(*this->store);
     }
@@ -302,7 +305,7 @@
 {
     Log::open("gateway", settings.logLevel, settings.host.value());
     std::signal(SIGPIPE, SIG_IGN);
-    std::signal(SIGHUP, SIG_IGN); // settings are read at the start; a changed one comes with a restart
+    std::signal(SIGHUP, SIG_IGN); // settings are read only at the start; changes need a restart
     return Gateway(settings).run();
 }
 
--- a/programs/gateway/gatewaysettings.cpp
+++ b/programs/gateway/gatewaysettings.cpp
@@ -16,15 +16,15 @@
     settings.ready = reader->address("listen", "ready");
     settings.peers = reader->text("listen", "peers", "");
     settings.store = reader->address("store", "address");
-    settings.contact = reader->decimal("store", "contact_ms", 1ms, settings.contact, {100ms, 10min});
+    settings.contactLimit = reader->decimal("store", "contact_ms", 1ms, settings.contactLimit, {100ms, 10min});
     settings.lease = reader->decimal("store", "lease_ms", 1ms, settings.lease, {100ms, 10min});
     settings.grace = reader->decimal("stop", "grace_s", 1s, settings.grace, {100ms, 1h});
     settings.announce = reader->duration("stop", "announce", settings.announce, {0s, 1min});
     settings.connectLimit = reader->duration("endpoints", "connect", settings.connectLimit, {1ms, 1min});
     settings.reservationLimit = reader->duration("endpoints", "reservation", settings.reservationLimit, {1ms, 1min});
     settings.connections = static_cast<std::size_t>(reader->number("limits", "connections", 1500, {1, 30000}));
-    // Every send beyond the first is paid for, also those that an endpoint refuses; a fifth is left for what hosts that
-    // were just started or ended count otherwise.
+    // Every send after the first counts against the budget, also if the endpoint refuses it. A fifth is kept in reserve
+    // for hosts that have just started or stopped, whose counts differ.
     const double allowed = reader->fraction("retries", "fleet_share", 0.2, {0, 100});
     settings.retryShare = allowed * 0.8;
     settings.retriesSaved = reader->fraction("retries", "saved", settings.retriesSaved, {0, 1000});
--- /dev/null
+++ b/programs/gateway/placementgates.h
@@ -0,0 +1,125 @@
+#pragma once
+
+// Queues generations until an engine has room: those of this host, and on the leader those of all hosts.
+//
+//     PlacementGates gates(io, fleet, seed);
+//     const GateAction action = gates.requestPlacement(service, request, yield); // an engine to try, or a rejection
+//     gates.report(service, id, peer::PlaceEvent::Full);             // the generation is queued again
+//     const GateAction next = gates.nextDecision(id, yield);
+//     gates.setUplink([&](const peer::Message &message) { ... });    // another host is the leader, or its deputy
+//     gates.suspend();                                               // it was lost, and a deputy may take over soon
+//     gates.setUplink({});                                           // there is none: this host decides alone
+//
+// Every host also tracks its own generations in a gate, so that it can decide alone at any time. It then sees only its
+// own part of the load, and engines refuse more often.
+
+#include "programs/gateway/fleetview.h"
+#include "wire/linkid.h"
+#include "wire/messages.h"
+
+#include <boost/asio/steady_timer.hpp>
+#include <unordered_map>
+
+namespace fescuesill
+{
+
+class PlacementGates
+{
+public:
+    using Send = std::function<void(const peer::Message &)>;
+
+    PlacementGates(asio::io_context &io, FleetView &fleet, std::uint64_t seed);
+
+    // Submits a request and waits for the decision. Also returns RejectGeneration if the caller disconnected meanwhile.
+    GateAction requestPlacement(const ServiceId &service, const GenerationRequest &request,
+                                const asio::yield_context &yield);
+    // Waits for the next decision after an engine was full or failed.
+    GateAction nextDecision(const RequestId &id, const asio::yield_context &yield);
+    // Reports an event of the placement of a generation of this host.
+    void report(const ServiceId &service, const RequestId &id, peer::PlaceEvent event, Tokens output = Tokens(0));
+    // Ends a wait at once, since the caller disconnected.
+    void cancelWait(const RequestId &id);
+    // Engines were added, removed or changed.
+    void onFleetChanged();
+    // Sums over all services.
+    std::size_t waiting() const;
+    std::size_t placed() const;
+    bool isFollowing() const
+    {
+        return static_cast<bool>(this->uplink);
+    }
+    // Empty for a service without a gate, for which nothing was placed yet.
+    std::optional<StageLoad> stageLoad(const ServiceId &service) const;
+
+    // Sets how to send to the leader or its deputy; empty if neither can be reached.
+    void setUplink(Send send);
+    // Stops placing: generations wait for the next call of setUplink().
+    void suspend();
+    // Sets the part of the engines' memory that this host may fill.
+    void setShare(double share);
+    void onPlacementOffered(const peer::TryPlace &message);
+    void onPlacementRejected(const peer::NoPlace &message);
+    void onChanging(const peer::EngineChanging &message);
+
+    // Messages from a host that follows this one.
+    void onPlacementRequested(LinkId link, const Send &reply, const peer::AskPlace &message);
+    void onPlacementReport(LinkId link, const peer::PlaceReport &message);
+    void onHeldPlacements(LinkId link, const peer::HeldPlaces &message);
+    void onFollowerLost(LinkId link);
+
+private:
+    // One generation of this host, from its request to its end.
+    struct LocalGeneration {
+        explicit LocalGeneration(asio::io_context &io)
+            : timer(io)
+        {
+        }
+
+        asio::steady_timer timer;
+        std::optional<GateAction> decision;
+        ServiceId service;
+        GenerationRequest request;
+        EngineId engine; // where it is placed; empty while it waits
+        Instant since;
+        bool isAtLeader = false; // the request waits for a decision of the leader
+    };
+    // One generation of another host, placed by this one.
+    struct RemoteGeneration {
+        LinkId link{};
+        ServiceId service;
+        Send reply;
+    };
+    struct Gate {
+        Gate(asio::io_context &io, std::uint64_t seed)
+            : core(GenerationGate::Options{}, seed)
+            , timer(io)
+        {
+        }
+
+        GenerationGate core;
+        asio::steady_timer timer;
+    };
+
+    Gate &gate(const ServiceId &service);
+    void refresh(const ServiceId &service, Gate &gate);
+    void poll(Gate &gate);
+    void armTimer(Gate &gate);
+    void deliver(const GateAction &action);
+    void decide(LocalGeneration &local, const GateAction &action);
+    void submit(LocalGeneration &local);
+    void apply(Gate &gate, const RequestId &id, peer::PlaceEvent event, Tokens output);
+
+    asio::io_context &io;
+    FleetView &fleet;
+    std::uint64_t seed;
+    std::map<ServiceId, Gate> gates; // of generating services of the current or an earlier configuration
+    // Bounded by the number of callers' connections.
+    std::unordered_map<RequestId, std::shared_ptr<LocalGeneration>> localGenerations;
+    // Bounded by the callers' connections of all hosts.
+    std::unordered_map<RequestId, RemoteGeneration> remoteGenerations;
+    Send uplink;
+    bool isSuspended = false;
+    double share = 1;
+};
+
+} // namespace fescuesill
--- a/programs/gateway/storeduty.h
+++ b/programs/gateway/storewatcher.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// The thread that follows the users' store and tells the forwarding thread what changed.
+// Watches the users' store on its own thread and reports changes to the forwarding thread through a ring.
 //
-//     StoreDuty duty({settings.store, settings.contact}, ring);
+//     StoreWatcher watcher({settings.store, settings.contactLimit}, ring);
 //     ... ring.tryPop() on the other side ...
-//     duty.stop();
+//     watcher.stop();
 
 #include "decide/routingconfig.h"
 #include "programs/gateway/configreplica.h"
@@ -43,70 +43,70 @@
 struct Removed {
     EndpointId id;
 };
-// Who leads, as the lease last said; none while nobody is known to.
+// The current leader, according to the last read of the lease; empty if none is known.
 struct Leader {
     std::optional<LeaseRow> holder;
     bool isSelf = false;
-    RowVersion term; // of the lease
+    RowVersion term; // the version of the lease
 };
-// For the hosts that follow this one; of the leader only.
-struct News {
+// A message for the hosts that follow this one. Sent only by the leader.
+struct PeerUpdate {
     peer::Message message;
-    std::optional<LinkId> follower; // all where empty
+    std::optional<LinkId> follower; // to all if empty
 };
-// The registry can't be read, and can be read again.
+// The registry can't be read, or can be read again.
 struct Lost {
 };
-struct Back {
+struct Restored {
 };
 } // namespace store_update
 
 using StoreUpdate =
     std::variant<store_update::Config, store_update::Listed, store_update::Changed, store_update::Removed,
-                 store_update::Lost, store_update::Back, store_update::Leader, store_update::News>;
+                 store_update::Lost, store_update::Restored, store_update::Leader, store_update::PeerUpdate>;
 
 class StoreClient;
 class StoreError;
 struct StoreRow;
 
-class StoreDuty
+class StoreWatcher
 {
 public:
     struct Options {
         std::string address;
-        Duration contact{3s};
-        LeaseRow self; // under which this host may lead; an empty address: it never does
+        Duration contactLimit{3s};
+        LeaseRow self; // the row that this host writes to lead; with an empty address it never leads
         Duration lease{3s};
     };
 
-    StoreDuty(Options options, Ring<StoreUpdate> &updates);
-    ~StoreDuty();
-    StoreDuty(const StoreDuty &) = delete;
-    StoreDuty &operator=(const StoreDuty &) = delete;
+    StoreWatcher(Options options, Ring<StoreUpdate> &updates);
+    ~StoreWatcher();
+    StoreWatcher(const StoreWatcher &) = delete;
+    StoreWatcher &operator=(const StoreWatcher &) = delete;
 
     void stop();
-    // All safe on any thread.
-    // Whether this host hears from the leader.
-    void setLeaderSeen(bool isSeen);
-    // This host stops: it leads no more.
+    // The functions below may be called on any thread.
+    // Sets whether the leader is reachable from this host.
+    void setLeaderReachable(bool isReachable);
+    // Gives up the leadership, since this host is stopping.
     void release();
-    // The leader hands on changes: this host reads the store itself only where the leader cannot.
-    void onNews(const peer::RegistryNews &news);
-    void onNews(const peer::ConfigNews &news);
+    // Updates from the leader. While they arrive, this host does not read the store itself.
+    void onUpdate(const peer::RegistryNews &update);
+    void onUpdate(const peer::ConfigNews &update);
     void onConfigDelayed();
     void onLeaderLostStore();
-    // A host that follows this one has all up to a version.
+    // Adds a host that follows this one and has all changes up to `version`.
     void addFollower(LinkId link, std::uint64_t version);
-    // Since the registry was last read, or its news came, by this thread.
+    // Time since this thread last read the registry or received an update of it.
     Duration registryAge() const;
-    // With which number this host may give orders now; none where it may not. Asked right before each order.
-    std::optional<FencingNumber> mayOrder() const;
-    // Whether the leader hands on the registry's changes.
+    // The fencing number for an order sent now; empty if this host may not give orders. Called right before each order.
+    std::optional<FencingNumber> fencingForOrder() const;
+    // Whether the leader forwards the registry's changes.
     bool isRelayed() const
     {
         return this->relayed;
     }
-    // The store's version up to which this host has all.
+    // The version of the store up to which this host has all changes.
     std::uint64_t knownVersion() const
     {
         return this->known;
@@ -118,26 +118,26 @@
         Registry,
     };
 
-    // One table as this host has it.
-    struct Followed {
-        Followed(asio::io_context &io)
-            : pause(io)
-            , slow(io)
+    // The state of one table on this host.
+    struct FollowedTable {
+        FollowedTable(asio::io_context &io)
+            : pauseTimer(io)
+            , slowTimer(io)
         {
         }
 
-        std::optional<std::int64_t> version; // all changes up to it are here
+        std::optional<std::int64_t> version; // all changes up to it are applied
         bool isLost = false;
-        int failures = 0; // reads in a row
-        Instant asked; // when the last read began; one that follows also waits for a change
-        bool isRelayed = false; // the leader hands on its changes
+        int failures = 0; // consecutive failed reads
+        Instant readStart; // of the last read; a long poll includes the wait for a change
+        bool isRelayed = false; // the leader forwards its changes
         bool isReading = false;
-        bool isSlow = false; // the read that is under way
-        asio::steady_timer pause;
-        asio::steady_timer slow;
+        bool isSlow = false; // the current read exceeds its expected time
+        asio::steady_timer pauseTimer;
+        asio::steady_timer slowTimer;
     };
 
-    Followed &of(Table table)
+    FollowedTable &stateOf(Table table)
     {
         return table == Table::Config ? this->config : this->registry;
     }
@@ -147,7 +147,7 @@
     void endRead(Table table);
     void onSlowRead(Table table);
     void onReadFailed(Table table, const StoreError &error);
-    void waitFor(Followed &table, Duration time, const asio::yield_context &yield);
+    void waitFor(FollowedTable &table, Duration time, const asio::yield_context &yield);
     void setRelayed(Table table, bool isRelayed);
     void takeRows(Table table, const std::vector<StoreRow> &rows, bool isWhole, std::int64_t before);
     void takeRow(Table table, const StoreRow &row);
@@ -155,15 +155,15 @@
     std::shared_ptr<const RoutingConfig> decodeConfig(const StoreRow &row);
     peer::ConfigNews configSummary() const;
     void takeList(const std::vector<StoreRow> &rows);
-    void handOn(const std::vector<StoreRow> &rows, std::int64_t before);
-    void remember(const std::vector<StoreRow> &rows, std::int64_t before, bool isWhole);
-    void welcomeFollowers();
+    void forwardToFollowers(const std::vector<StoreRow> &rows, std::int64_t before);
+    void recordRecentRows(const std::vector<StoreRow> &rows, std::int64_t before, bool isWhole);
+    void updateNewFollowers();
     bool isLeading() const;
     void push(const StoreUpdate &update);
-    void tell(bool isLost, Table table, const std::string &reason);
+    void reportAvailability(bool isLost, Table table, const std::string &reason);
     void lead(const asio::yield_context &yield);
     void leadOnce(StoreClient &store, const asio::yield_context &yield);
-    void tellLeader();
+    void reportLeader();
 
     Options options;
     Ring<StoreUpdate> &updates;
@@ -174,17 +174,17 @@
     std::atomic<std::int64_t> registryRead{0}; // microseconds of the steady clock
     std::atomic<std::int64_t> ordersUntil{0}; // microseconds of the clock that counts suspension
     std::atomic<std::int64_t> orderFencing{0};
-    // Of the duty's own thread, like all below.
-    Followed config;
-    Followed registry;
-    RecentRows recent; // of the registry, for followers that are a little behind
+    // The members below are used only by the watcher's thread.
+    FollowedTable config;
+    FollowedTable registry;
+    RecentRows recent; // of the registry, for followers that are a few changes behind
     ConfigReplica replica;
-    std::optional<RowVersion> configAtLeader; // the newest row that the leader notified of
-    std::map<LinkId, std::uint64_t> newFollowers; // not answered yet, with the version that each has
+    std::optional<RowVersion> configAtLeader; // the newest row that the leader announced
+    std::map<LinkId, std::uint64_t> newFollowers; // without a reply yet, with the version that each has
     Leadership leadership;
     asio::steady_timer leadTimer;
-    store_update::Leader told;
-    bool mustTell = false; // at the next read of the lease, whoever holds it
+    store_update::Leader reportedLeader;
+    bool mustReportLeader = false; // after the next read of the lease, even if the holder is unchanged
     std::thread thread;
 };
 
--- a/programs/gateway/testing/recentrows_test.cpp
+++ b/programs/gateway/testing/recentrows_test.cpp
@@ -20,20 +20,21 @@
     }
 }
 
-// A host reads the table, falls behind by some changes, and links to the leader. What the leader hands it must bring it
-// to exactly the leader's state, or it is told nothing and reads the table again; never a state in between.
+// A host reads the table, falls behind by some changes and connects to the leader. The rows that the leader sends must
+// bring it to exactly the leader's state. If the leader no longer has them all, it sends nothing and the host reads the
+// table again.
 RC_GTEST_PROP(RecentRows, BringAHostThatIsBehindToTheSameState, ())
 {
     RecentRows recent;
     Table leader;
-    std::map<std::int64_t, Table> states; // by version, as a host may have read them
+    std::map<std::int64_t, Table> states; // by version, as a host may have read the table
     std::int64_t version = *rc::gen::inRange<std::int64_t>(1, 1000);
     recent.restart(version);
     states[version] = leader;
     const int transactions = *rc::gen::inRange(1, 300);
     for (int number = 0; number < transactions; ++number) {
         const std::int64_t before = version;
-        version += *rc::gen::inRange(1, 4); // other tables count with the same numbers
+        version += *rc::gen::inRange(1, 4); // other tables use the same sequence of versions
         std::vector<peer::RegistryRow> rows;
         const int changed = *rc::gen::inRange(1, 6);
         for (int each = 0; each < changed; ++each) {
@@ -47,38 +48,38 @@
         states[version] = leader;
     }
     for (const auto &[has, state] : states) {
-        if (!recent.reaches(has)) {
+        if (!recent.covers(has)) {
             continue;
         }
         Table follower = state;
-        const auto news = recent.after(has);
-        for (const peer::RegistryRow &row : news.rows) {
+        const auto update = recent.after(has);
+        for (const peer::RegistryRow &row : update.rows) {
             change(follower, row);
         }
         RC_ASSERT(follower == leader);
-        RC_ASSERT(news.version == static_cast<std::uint64_t>(version));
+        RC_ASSERT(update.version == static_cast<std::uint64_t>(version));
     }
-    RC_ASSERT(recent.reaches(version));
-    RC_ASSERT(!recent.reaches(version + 1));
+    RC_ASSERT(recent.covers(version));
+    RC_ASSERT(!recent.covers(version + 1));
 }
 
-TEST(RecentRows, ServesNobodyThatIsTooFarBehind)
+TEST(RecentRows, DoesNotServeAHostThatIsTooFarBehind)
 {
     RecentRows recent;
     recent.restart(10);
-    EXPECT_FALSE(recent.reaches(9));
-    EXPECT_TRUE(recent.reaches(10));
-    for (std::int64_t version = 11; version <= 10 + static_cast<std::int64_t>(RecentRows::mostRows) + 3; ++version) {
+    EXPECT_FALSE(recent.covers(9));
+    EXPECT_TRUE(recent.covers(10));
+    for (std::int64_t version = 11; version <= 10 + static_cast<std::int64_t>(RecentRows::maxRows) + 3; ++version) {
         const std::vector<peer::RegistryRow> row = {
             peer::RegistryRow{static_cast<std::uint64_t>(version), "e", "", false}};
         recent.add(row, version - 1, version);
     }
-    EXPECT_FALSE(recent.reaches(10));
-    EXPECT_FALSE(recent.reaches(12));
-    EXPECT_TRUE(recent.reaches(13));
-    EXPECT_EQ(recent.after(13).rows.size(), RecentRows::mostRows);
+    EXPECT_FALSE(recent.covers(10));
+    EXPECT_FALSE(recent.covers(12));
+    EXPECT_TRUE(recent.covers(13));
+    EXPECT_EQ(recent.after(13).rows.size(), RecentRows::maxRows);
     recent.restart(2000);
-    EXPECT_FALSE(recent.reaches(13));
+    EXPECT_FALSE(recent.covers(13));
     EXPECT_TRUE(recent.after(2000).rows.empty());
 }
 
