--- a/programs/gateway/gatewaymetrics.cpp
+++ b/programs/gateway/gatewaymetrics.cpp
@@ -48,15 +48,17 @@
                                                             .Register(this->registry);
     prometheus::Counter &retries = BuildCounter()
                                        .Name("fescuesill_gateway_retries_total")
-                                       .Help("Retries of plain calls")
+                                       .Help("Sends beyond the first of a plain call")
                                        .Register(this->registry)
                                        .Add({});
     prometheus::Family<prometheus::Histogram> &times = BuildHistogram()
                                                            .Name("fescuesill_gateway_seconds")
-                                                           .Help("Durations of calls by stage")
+                                                           .Help("Times of calls by what ended")
                                                            .Register(this->registry);
-    prometheus::Family<prometheus::Gauge> &gauges =
-        BuildGauge().Name("fescuesill_gateway_state").Help("Current state of this host").Register(this->registry);
+    prometheus::Family<prometheus::Gauge> &gauges = BuildGauge()
+                                                        .Name("fescuesill_gateway_state")
+                                                        .Help("What this host holds and believes")
+                                                        .Register(this->registry);
     prometheus::Histogram &answer = this->times.Add({{"of", "plain_answer"}}, answerBuckets);
     prometheus::Histogram &placed = this->times.Add({{"of", "place"}}, eventBuckets);
     prometheus::Histogram &prefilled = this->times.Add({{"of", "read"}}, eventBuckets);
--- a/programs/gateway/generationforward.cpp
+++ b/programs/gateway/generationforward.cpp
@@ -231,7 +231,7 @@
         this->recordEvents();
         this->call.reply.write(whole, yield);
         if (this->events.isTooLong()) {
-            this->lastFault = "an event exceeds the size limit";
+            this->lastFault = "an event without an end";
             return Outcome::Broken;
         }
     }
@@ -256,11 +256,11 @@
                                                  {this->call.timeLeft(), Reuse::Never, &this->abort}, yield);
         const AnswerHead head = readAnswerHead(stream.head(), this->call.head.id);
         if (head.reportsNotRun) {
-            this->lastFault = "the engine did not run the call";
+            this->lastFault = "the engine did not take it";
             return Outcome::NotRun;
         }
         if (!head.isForThisCall || head.isEncoded) {
-            this->lastFault = "the response does not belong to this call or is encoded";
+            this->lastFault = "not the answer to this call";
             return Outcome::Broken;
         }
         if (head.status != statusOk) {
@@ -414,7 +414,7 @@
                           this->noRetry, yield);
         return;
     }
-    const std::string reason = this->lastFault.empty() ? "no engine had room in time" : this->lastFault;
+    const std::string reason = this->lastFault.empty() ? "no engine has room in time" : this->lastFault;
     this->call.refuse({RefusalCode::Overloaded, RunState::NotRun, reason,
                        std::max<Duration>(this->retryAfter.value_or(minRetryAfter), minRetryAfter)},
                       this->noRetry, yield);
--- a/programs/gateway/plainforward.cpp
+++ b/programs/gateway/plainforward.cpp
@@ -72,12 +72,12 @@
     }
     AnswerHead head = readAnswerHead(response, this->call.head.id);
     if (head.reportsNotRun) {
-        this->lastFault = "the endpoint did not run the call";
+        this->lastFault = "the endpoint did not take it";
         ended(EndpointOutcome::Full);
         return SendResult::ReportedNotRun;
     }
     if (!head.isForThisCall || head.isEncoded) {
-        this->lastFault = "the response does not belong to this call or is encoded";
+        this->lastFault = "not the answer to this call";
         ended(EndpointOutcome::Failed);
         return SendResult::Lost;
     }
@@ -145,7 +145,7 @@
         return;
     }
     const Duration retryAfter = last == SendResult::ReportedNotRun ? retryAfterWhenFull : retryAfterWhenNone;
-    const std::string reason = this->lastFault.empty() ? "no endpoint accepts calls" : this->lastFault;
+    const std::string reason = this->lastFault.empty() ? "no endpoint takes calls" : this->lastFault;
     this->call.refuse({RefusalCode::Overloaded, RunState::NotRun, reason, retryAfter}, this->noRetry, yield);
 }
 
