--- a/programs/ctl/doubtfulcommand.cpp
+++ b/programs/ctl/doubtfulcommand.cpp
@@ -73,7 +73,7 @@
     if (!record) {
         return Doubt{row.key, key, {}, record.error().text};
     }
-    if (!isDoubtful(*record, now, Attempt::Options().clockMargin)) {
+    if (!isInDoubt(*record, now, Attempt::Options().clockMargin)) {
         return std::nullopt;
     }
     return Doubt{row.key, key, *record, {}};
--- a/programs/ctl/settlecommand.cpp
+++ b/programs/ctl/settlecommand.cpp
@@ -64,7 +64,7 @@
     const std::ifstream file(path);
     std::ostringstream text;
     text << file.rdbuf();
-    const auto most = static_cast<std::size_t>(Attempt::Options().maxKeptAnswer.value());
+    const auto most = static_cast<std::size_t>(Attempt::Options().maxStoredAnswer.value());
     if (!file || text.str().empty() || text.str().size() > most) {
         throw CommandError(ExitCode::BadInput, fmt::format("{}: allowed: a file of 1 to {} bytes", path, most));
     }
--- a/programs/entry/canceller.cpp
+++ b/programs/entry/canceller.cpp
@@ -39,7 +39,7 @@
             boost::system::error_code ignored;
             timer.expires_after(step.wait);
             timer.async_wait(yield[ignored]);
-            step = cancellation.onWoken();
+            step = cancellation.onTimerExpired();
             continue;
         }
         try {
--- a/programs/entry/ledgerduty.cpp
+++ b/programs/entry/ledgerduty.cpp
@@ -48,7 +48,7 @@
 
 std::string newKeys()
 {
-    std::array<unsigned char, ResumeTokens::leastKeyBytes> bytes{};
+    std::array<unsigned char, ResumeTokens::minKeyBytes> bytes{};
     if (RAND_bytes(bytes.data(), static_cast<int>(bytes.size())) != 1) {
         throw std::runtime_error("no random numbers for a key");
     }
@@ -138,7 +138,7 @@
                 asio::steady_timer timer(this->io, wait.duration);
                 boost::system::error_code ignored;
                 timer.async_wait(yield[ignored]);
-                return attempt_event::Woken{};
+                return attempt_event::TimerExpired{};
             },
             [](const attempt_action::Stop &) -> AttemptEvent { throw std::logic_error("nothing follows Stop"); },
         },
--- a/programs/gateway/fleetview.cpp
+++ b/programs/gateway/fleetview.cpp
@@ -50,7 +50,7 @@
                        Log::info("endpoint_removed", {{"endpoint", removed.id.value()}});
                    },
                    [&](const store_update::Lost &) { this->registry.onStoreLost(now); },
-                   [&](const store_update::Back &) { this->registry.onStoreBack(now); },
+                   [&](const store_update::Back &) { this->registry.onStoreRecovered(now); },
                    [&](const auto &) {
                    }}, // of the links
         update);
--- a/programs/scheduler/ledgersweeper.cpp
+++ b/programs/scheduler/ledgersweeper.cpp
@@ -66,7 +66,7 @@
 {
     std::vector<RowWrite> writes;
     writes.reserve(doomed.rows.size());
-    for (const sweep_action::Doomed &row : doomed.rows) {
+    for (const sweep_action::Deletable &row : doomed.rows) {
         writes.push_back(RowWrite::remove(row.key, row.version));
     }
     try {
@@ -87,7 +87,7 @@
     asio::steady_timer timer(this->io, std::chrono::duration_cast<Duration>(duration * factor(this->random)));
     boost::system::error_code ignored;
     timer.async_wait(yield[ignored]);
-    return sweep_event::Woken{};
+    return sweep_event::TimerExpired{};
 }
 
 LedgerSweep::Counts LedgerSweeper::counts() const
--- a/programs/scheduler/peerduty.cpp
+++ b/programs/scheduler/peerduty.cpp
@@ -163,14 +163,14 @@
         TableReading::Situation situation;
         situation.isReader = isTableReader(this->options.host, owners, this->options.reading.readers);
         situation.isServing = this->store.service(now) == ConfigService::Serving;
-        situation.hearsMost = this->membership.reach().isMost();
+        situation.hearsMajority = this->membership.reach().isMajority();
         situation.isBehind = this->isBehind || this->store.wanted().has_value();
         return situation;
     }
 
     void handle(const ToldConfig &told)
     {
-        if (this->store.onTold(told.record)) {
+        if (this->store.onOperatorPush(told.record)) {
             this->putInForce("operator");
         }
     }
@@ -212,7 +212,7 @@
     {
         const auto answers = this->membership.onMessage(probe, steadyNow());
         if (probe.tableReadAge) {
-            this->reading.onHeard(*probe.tableReadAge, steadyNow());
+            this->reading.onPeerReadAge(*probe.tableReadAge, steadyNow());
         }
         this->sendProbes(answers);
     }
--- a/promise/attempt.cpp
+++ b/promise/attempt.cpp
@@ -46,7 +46,7 @@
 namespace
 {
 
-constexpr Duration longestRetryAfter = 60s;
+constexpr Duration maxRetryAfter = 60s;
 
 template<typename T>
 const T *get(const AttemptEvent &event)
@@ -60,7 +60,7 @@
     return std::holds_alternative<T>(event);
 }
 
-[[noreturn]] void throwMisfit()
+[[noreturn]] void throwUnexpectedEvent()
 {
     throw std::logic_error("attempt: the event does not answer the action");
 }
@@ -84,14 +84,14 @@
     switch (this->state) {
     case State::New:
         if (!is<attempt_event::Start>(event)) {
-            throwMisfit();
+            throwUnexpectedEvent();
         }
         this->sendBy = now + this->options.sendWindow;
         this->record.attempt = this->call.attempt;
         this->record.entry = this->call.entry;
         this->record.bodyDigest = this->call.bodyDigest;
         this->record.deadline = this->sendBy + this->call.endpointDeadline;
-        this->record.expiry = now + this->options.keep;
+        this->record.expiry = now + this->options.retention;
         return this->insert(absent);
     case State::Inserting:
         return this->onInserting(event, now);
@@ -99,30 +99,30 @@
         return this->onReadingBack(event, now);
     case State::Sending:
         return this->onSending(event, now);
-    case State::AskingOwnResult:
+    case State::QueryingOwnResult:
         return this->onOwnResult(event, now);
-    case State::AskingOtherResult:
+    case State::QueryingOtherResult:
         return this->onOtherResult(event, now);
-    case State::AskingInOutage:
+    case State::QueryingInOutage:
         return this->onOutageResult(event, now);
     case State::Releasing:
         return this->onReleasing(event);
     case State::Replying:
         if (!is<attempt_event::Replied>(event)) {
-            throwMisfit();
+            throwUnexpectedEvent();
         }
         return this->settlement ? this->settle() : this->stop();
     case State::Settling:
         return this->onSettling(event);
     case State::SettlingWait:
-        if (!is<attempt_event::Woken>(event)) {
-            throwMisfit();
+        if (!is<attempt_event::TimerExpired>(event)) {
+            throwUnexpectedEvent();
         }
         return this->settle();
     case State::Stopped:
         break;
     }
-    throwMisfit();
+    throwUnexpectedEvent();
 }
 
 bool Attempt::maySent() const
@@ -134,14 +134,14 @@
 {
     this->state = State::Inserting;
     this->rowVersion = ifVersion;
-    ++this->tries;
+    ++this->tableCalls;
     return attempt_action::Write{{this->key, encode(this->record), ifVersion}};
 }
 
 AttemptAction Attempt::readBack()
 {
     this->state = State::ReadingBack;
-    ++this->tries;
+    ++this->tableCalls;
     return attempt_action::Read{this->key};
 }
 
@@ -154,32 +154,33 @@
         if (conflict->row) {
             return this->onRow(*conflict->row, now);
         }
-        return this->tries < this->options.triesBefore ? this->insert(absent) : this->storeDown(now);
+        return this->tableCalls < this->options.maxTableCallsBeforeReply ? this->insert(absent)
+                                                                         : this->onStoreUnavailable(now);
     }
     if (is<table::Refused>(event)) {
-        return this->storeDown(now);
+        return this->onStoreUnavailable(now);
     }
     if (!is<table::NoReply>(event)) {
-        throwMisfit();
+        throwUnexpectedEvent();
     }
     // Failure: the write took effect and its reply was lost. It shows as silence. Only the row itself tells.
-    this->insertMayLand = true;
-    return this->tries < this->options.triesBefore ? this->readBack() : this->storeDown(now);
+    this->insertMayTakeEffect = true;
+    return this->tableCalls < this->options.maxTableCallsBeforeReply ? this->readBack() : this->onStoreUnavailable(now);
 }
 
 AttemptAction Attempt::onReadingBack(const AttemptEvent &event, Instant now)
 {
-    const bool triesLeft = this->tries < this->options.triesBefore;
+    const bool triesLeft = this->tableCalls < this->options.maxTableCallsBeforeReply;
     if (const auto *read = get<table::RowRead>(event)) {
         if (read->row) {
             return this->onRow(*read->row, now);
         }
-        return triesLeft ? this->insert(absent) : this->storeDown(now);
+        return triesLeft ? this->insert(absent) : this->onStoreUnavailable(now);
     }
     if (!is<table::ReadFailed>(event)) {
-        throwMisfit();
+        throwUnexpectedEvent();
     }
-    return triesLeft ? this->readBack() : this->storeDown(now);
+    return triesLeft ? this->readBack() : this->onStoreUnavailable(now);
 }
 
 AttemptAction Attempt::onRow(const TableRow &row, Instant now)
@@ -206,7 +207,8 @@
                                    "the key was used before with another body", std::nullopt});
     }
     if (expired || found.state == LedgerState::Released) {
-        return this->tries < this->options.triesBefore ? this->insert(version) : this->storeDown(now);
+        return this->tableCalls < this->options.maxTableCallsBeforeReply ? this->insert(version)
+                                                                         : this->onStoreUnavailable(now);
     }
     if (found.state == LedgerState::Done) {
         return this->replyDone(found);
@@ -224,14 +226,14 @@
     const Instant settledBy = found.deadline + this->options.clockMargin;
     if (now < settledBy) {
         return this->reply(Refusal{RefusalCode::InProgress, RunState::MayHaveRun, "the same key is being run now",
-                                   std::min(settledBy - now, longestRetryAfter)});
+                                   std::min(settledBy - now, maxRetryAfter)});
     }
     if (!this->call.resultQuery) {
         return this->reply(unknownOutcome("an earlier try may have run the call and left no answer", std::nullopt));
     }
     this->other = found;
     this->rowVersion = version;
-    this->state = State::AskingOtherResult;
+    this->state = State::QueryingOtherResult;
     return attempt_action::QueryResult{};
 }
 
@@ -259,12 +261,12 @@
         return this->answered(got->answer, this->record, now);
     }
     if (!is<attempt_event::AnswerLost>(event)) {
-        throwMisfit();
+        throwUnexpectedEvent();
     }
     if (!this->call.resultQuery) {
         return this->reply(unknownOutcome("the endpoint took the call and gave no answer", std::nullopt));
     }
-    this->state = State::AskingOwnResult;
+    this->state = State::QueryingOwnResult;
     return attempt_action::QueryResult{};
 }
 
@@ -294,10 +296,10 @@
     return this->refuseForStore(now);
 }
 
-AttemptAction Attempt::storeDown(Instant now)
+AttemptAction Attempt::onStoreUnavailable(Instant now)
 {
     if (this->call.resultQuery) {
-        this->state = State::AskingInOutage;
+        this->state = State::QueryingInOutage;
         return attempt_action::QueryResult{};
     }
     return this->refuseForStore(now);
@@ -305,10 +307,10 @@
 
 AttemptAction Attempt::refuseForStore(Instant now)
 {
-    if (this->insertMayLand) {
+    if (this->insertMayTakeEffect) {
         this->settlement = this->record;
         this->settlement->state = LedgerState::Released;
-        this->settlement->expiry = now + this->options.keep;
+        this->settlement->expiry = now + this->options.retention;
     }
     if (this->call.repeat) {
         return this->reply(unknownOutcome("the ledger cannot be read, and an earlier try may have run the call",
@@ -322,9 +324,9 @@
 {
     this->settlement = open;
     this->settlement->state = LedgerState::Done;
-    this->settlement->expiry = now + this->options.keep;
+    this->settlement->expiry = now + this->options.retention;
     const std::size_t size = answer.body.size() + answer.contentType.size();
-    if (size <= static_cast<std::size_t>(this->options.maxKeptAnswer.value())) {
+    if (size <= static_cast<std::size_t>(this->options.maxStoredAnswer.value())) {
         this->settlement->answer = answer;
     }
     return this->reply(answer);
--- a/promise/attempt.h
+++ b/promise/attempt.h
@@ -60,14 +60,14 @@
 };
 struct Replied {
 };
-struct Woken {
+struct TimerExpired {
 };
 } // namespace attempt_event
 
 using AttemptEvent = std::variant<attempt_event::Start, table::Written, table::Conflict, table::Refused, table::NoReply,
                                   table::RowRead, table::ReadFailed, attempt_event::Answered, attempt_event::NeverSent,
                                   attempt_event::AnswerLost, attempt_event::ResultFound, attempt_event::ResultAbsent,
-                                  attempt_event::ResultUnknown, attempt_event::Replied, attempt_event::Woken>;
+                                  attempt_event::ResultUnknown, attempt_event::Replied, attempt_event::TimerExpired>;
 
 namespace attempt_action
 {
@@ -91,7 +91,7 @@
 struct Reply {
     std::variant<EndpointAnswer, Refusal> with;
 };
-// Feed back Woken after the duration.
+// Feed back TimerExpired after the duration.
 struct Wait {
     Duration duration;
 };
@@ -114,13 +114,13 @@
         Duration clockMargin{500ms};
         // How long a settled row is kept. Callers may repeat a key this long. A row in doubt is kept until an operator
         // settles it.
-        Duration keep{168h};
+        Duration retention{168h};
         // Larger answers reach the caller but are not kept: a row must stay small for the table.
-        Bytes maxKeptAnswer{64 * 1024};
+        Bytes maxStoredAnswer{64 * 1024};
         // Table calls before the caller is answered: insert and read back, twice. More only add to a store in trouble.
-        int triesBefore = 4;
+        int maxTableCallsBeforeReply = 4;
         // Table calls after the caller was answered, to complete or release the row: with retryWait about 10 minutes.
-        int triesAfter = 120;
+        int maxTableCallsAfterReply = 120;
         Duration retryWait{5s};
         // When to come back in an outage of the table.
         Duration storeRetryAfter{3s};
@@ -140,9 +140,9 @@
         Inserting,
         ReadingBack,
         Sending,
-        AskingOwnResult,
-        AskingOtherResult,
-        AskingInOutage,
+        QueryingOwnResult,
+        QueryingOtherResult,
+        QueryingInOutage,
         Releasing, // before the caller is told that the call was not run
         Replying,
         Settling, // after the reply: the answer or the release goes to the row
@@ -162,7 +162,7 @@
     AttemptAction onOwnResult(const AttemptEvent &event, Instant now);
     AttemptAction onOtherResult(const AttemptEvent &event, Instant now);
     AttemptAction onOutageResult(const AttemptEvent &event, Instant now);
-    AttemptAction storeDown(Instant now);
+    AttemptAction onStoreUnavailable(Instant now);
     AttemptAction refuseForStore(Instant now);
     AttemptAction release(Refusal refusal, Instant now);
     AttemptAction onReleasing(const AttemptEvent &event);
@@ -186,9 +186,9 @@
     Instant sendBy;
     // The row as last known; the next write names it.
     RowVersion rowVersion = absent;
-    int tries = 0;
-    int settleTries = 0;
-    bool insertMayLand = false;
+    int tableCalls = 0;
+    int settlementTableCalls = 0;
+    bool insertMayTakeEffect = false;
     bool sent = false;
     Refusal afterRelease;
     // What the row is to hold at the end; none when nothing is to be written.
--- a/promise/attemptsettling.cpp
+++ b/promise/attemptsettling.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-[[noreturn]] void throwMisfit()
+[[noreturn]] void throwUnexpectedEvent()
 {
     throw std::logic_error("attempt: the event does not answer the action");
 }
@@ -29,7 +29,7 @@
     this->afterRelease = std::move(refusal);
     this->settlement = this->record;
     this->settlement->state = LedgerState::Released;
-    this->settlement->expiry = now + this->options.keep;
+    this->settlement->expiry = now + this->options.retention;
     this->state = State::Releasing;
     return attempt_action::Write{{this->key, encode(*this->settlement), this->rowVersion}};
 }
@@ -55,7 +55,7 @@
                                    "the ledger row was changed by another", std::nullopt});
     }
     if (!std::holds_alternative<table::Refused>(event) && !std::holds_alternative<table::NoReply>(event)) {
-        throwMisfit();
+        throwUnexpectedEvent();
     }
     return this->reply(this->afterRelease);
 }
@@ -71,14 +71,14 @@
     if (std::holds_alternative<table::Written>(event)) {
         return this->stop();
     }
-    if (++this->settleTries >= this->options.triesAfter) {
+    if (++this->settlementTableCalls >= this->options.maxTableCallsAfterReply) {
         return this->stop();
     }
     if (const auto *conflict = std::get_if<table::Conflict>(&event)) {
         return this->onSettlingConflict(conflict->row);
     }
     if (!std::holds_alternative<table::Refused>(event) && !std::holds_alternative<table::NoReply>(event)) {
-        throwMisfit();
+        throwUnexpectedEvent();
     }
     this->state = State::SettlingWait;
     return attempt_action::Wait{this->options.retryWait};
@@ -103,7 +103,7 @@
     }
     this->other = closed;
     this->rowVersion = version;
-    this->state = State::AskingOtherResult;
+    this->state = State::QueryingOtherResult;
     return attempt_action::QueryResult{};
 }
 
@@ -127,8 +127,8 @@
     if (!found || found->attempt != this->settlement->attempt) {
         return this->stop();
     }
-    const bool isOverruled = found->stated && !found->answer && this->settlement->state == LedgerState::Done;
-    if (found->state != LedgerState::Open && !isOverruled) {
+    const bool isOverridden = found->stated && !found->answer && this->settlement->state == LedgerState::Done;
+    if (found->state != LedgerState::Open && !isOverridden) {
         return this->stop();
     }
     this->settlement->stated = found->stated;
--- a/promise/cancellation.cpp
+++ b/promise/cancellation.cpp
@@ -12,8 +12,8 @@
 
 Cancellation::Cancellation(Options options, Instant now)
     : options(options)
-    , began(now)
-    , wait(options.firstWait)
+    , startedAt(now)
+    , wait(options.initialWait)
 {
 }
 
@@ -29,15 +29,15 @@
 
 CancelStep Cancellation::onFailed(Instant now)
 {
-    if (now - this->began >= this->options.giveUpAfter) {
+    if (now - this->startedAt >= this->options.giveUpAfter) {
         return {CancelStep::LeaveToOwner, Duration(0)};
     }
     const Duration pause = this->wait;
-    this->wait = std::min(2 * this->wait, this->options.longestWait);
+    this->wait = std::min(2 * this->wait, this->options.maxWait);
     return {CancelStep::Wait, pause};
 }
 
-CancelStep Cancellation::onWoken() const
+CancelStep Cancellation::onTimerExpired() const
 {
     return {CancelStep::Delete, Duration(0)};
 }
--- a/promise/cancellation.h
+++ b/promise/cancellation.h
@@ -6,7 +6,7 @@
 //     CancelStep step = cancellation.start();
 //     while (step.kind == CancelStep::Delete) {
 //         step = deleteStream(stream) ? cancellation.onConfirmed() : cancellation.onFailed(now);
-//         if (step.kind == CancelStep::Wait) { sleep(step.wait); step = cancellation.onWoken(); }
+//         if (step.kind == CancelStep::Wait) { sleep(step.wait); step = cancellation.onTimerExpired(); }
 //     }
 //
 // DELETE with the own entry=HOST, answered with 200, 404 or 409 (another entry reads it by now), confirms.
@@ -32,9 +32,9 @@
 {
 public:
     struct Options {
-        Duration firstWait{50ms};
+        Duration initialWait{50ms};
         // Doubling stops here: memory is scarce, and an engine back from a restart must hear soon.
-        Duration longestWait{2s};
+        Duration maxWait{2s};
         // After this the owner of the cell has long seen the stream as an orphan; entries keep no endless list.
         Duration giveUpAfter{60s};
     };
@@ -44,11 +44,11 @@
     CancelStep start() const;
     CancelStep onConfirmed();
     CancelStep onFailed(Instant now);
-    CancelStep onWoken() const;
+    CancelStep onTimerExpired() const;
 
 private:
     Options options;
-    Instant began;
+    Instant startedAt;
     Duration wait;
 };
 
--- a/promise/configchange.cpp
+++ b/promise/configchange.cpp
@@ -44,7 +44,7 @@
 
 ConfigChangeAction ConfigChange::read(const std::string &key)
 {
-    if (++this->tries > this->options.tries) {
+    if (++this->tableCalls > this->options.maxTableCalls) {
         return this->giveUp();
     }
     return config_action::Read{key};
--- a/promise/configchange.h
+++ b/promise/configchange.h
@@ -49,7 +49,7 @@
 public:
     struct Options {
         // Table calls altogether; the operator's command is at hand to try again.
-        int tries = 6;
+        int maxTableCalls = 6;
     };
 
     ConfigChange(ConfigRecord record, ConfigVersion base, Options options);
@@ -70,7 +70,7 @@
     Options options;
     bool readingHistory = false;
     bool mayHaveWritten = false;
-    int tries = 0;
+    int tableCalls = 0;
     std::optional<ConfigRecord> other;
 };
 
--- a/promise/configrecord.cpp
+++ b/promise/configrecord.cpp
@@ -19,7 +19,7 @@
 
 tl::expected<ConfigRecord, ConfigRecordError> decodeConfigRecord(const std::string &text)
 {
-    if (text.size() > static_cast<std::size_t>(mostConfigBytes.value())) {
+    if (text.size() > static_cast<std::size_t>(maxConfigBytes.value())) {
         return tl::unexpected(ConfigRecordError{"larger than a configuration may be"});
     }
     const nlohmann::json object = nlohmann::json::parse(text, nullptr, false);
--- a/promise/configrecord.h
+++ b/promise/configrecord.h
@@ -26,7 +26,7 @@
 };
 
 // The declaration of the two-year size is some 100 KB; this bounds what a peer can make us hold.
-constexpr Bytes mostConfigBytes{1024 * 1024};
+constexpr Bytes maxConfigBytes{1024 * 1024};
 
 std::string encode(const ConfigRecord &record);
 tl::expected<ConfigRecord, ConfigRecordError> decodeConfigRecord(const std::string &text);
--- a/promise/configstore.cpp
+++ b/promise/configstore.cpp
@@ -19,7 +19,7 @@
 namespace fescuesill
 {
 
-bool PeerReach::isMost() const
+bool PeerReach::isMajority() const
 {
     // This host counts as one that answers: with four of nine hosts lost, five are still most.
     return this->answered > 0 && 2 * (this->answered + 1) > this->probed + 1;
@@ -33,7 +33,7 @@
 
 bool ConfigStore::onTableRead(const std::optional<ConfigRecord> &record, Instant now)
 {
-    this->noteContact(now);
+    this->recordContact(now);
     this->tableRead = true;
     return record && this->adopt(*record);
 }
@@ -41,7 +41,7 @@
 void ConfigStore::onTableFailed(Instant now)
 {
     if (this->isCutOff(now)) {
-        this->learnAgain(now);
+        this->restartLearning(now);
     }
     this->tableFailed = true;
 }
@@ -49,13 +49,13 @@
 void ConfigStore::onPeerVersion(const HostId &peer, ConfigVersion version, Instant now)
 {
     if (this->isCutOff(now)) {
-        this->learnAgain(now);
+        this->restartLearning(now);
     }
     this->highestSeen = std::max(this->highestSeen, version);
     // A peer with a higher version has not been heard out before its record is here.
-    const bool heardOut = version <= this->version() && version > ConfigVersion(0);
-    if (heardOut && this->peersHeard.size() < static_cast<std::size_t>(this->options.startPeers)) {
-        this->peersHeard.insert(peer);
+    const bool isUpToDate = version <= this->version() && version > ConfigVersion(0);
+    if (isUpToDate && this->upToDatePeers.size() < static_cast<std::size_t>(this->options.startPeers)) {
+        this->upToDatePeers.insert(peer);
     }
 }
 
@@ -66,7 +66,7 @@
     return higher;
 }
 
-bool ConfigStore::onTold(const ConfigRecord &record)
+bool ConfigStore::onOperatorPush(const ConfigRecord &record)
 {
     return this->adopt(record);
 }
@@ -74,8 +74,8 @@
 void ConfigStore::onReach(PeerReach newReach, Instant now)
 {
     this->reach = newReach;
-    if (newReach.isMost()) {
-        this->noteContact(now);
+    if (newReach.isMajority()) {
+        this->recordContact(now);
     }
 }
 
@@ -114,22 +114,22 @@
     return true;
 }
 
-void ConfigStore::noteContact(Instant now)
+void ConfigStore::recordContact(Instant now)
 {
     // Failure: a host frozen or cut off for long hears one probe and serves at once with what it had. It shows as
     // requests handled by a text that was replaced minutes ago.
     if (this->isCutOff(now)) {
-        this->learnAgain(now);
+        this->restartLearning(now);
     }
     this->lastContact = now;
 }
 
-void ConfigStore::learnAgain(Instant now)
+void ConfigStore::restartLearning(Instant now)
 {
     this->learningSince = now;
     this->tableRead = false;
     this->tableFailed = false;
-    this->peersHeard.clear();
+    this->upToDatePeers.clear();
 }
 
 bool ConfigStore::isCutOff(Instant now) const
@@ -139,11 +139,11 @@
 
 bool ConfigStore::knowsHighest(Instant now) const
 {
-    const int heard = static_cast<int>(this->peersHeard.size());
+    const int upToDate = static_cast<int>(this->upToDatePeers.size());
     if (this->tableRead) {
-        return heard > 0 || this->reach.known == 0 || now - this->learningSince >= this->options.startWait;
+        return upToDate > 0 || this->reach.known == 0 || now - this->learningSince >= this->options.startWait;
     }
-    return this->tableFailed && this->lastContact && heard >= this->startPeersNeeded();
+    return this->tableFailed && this->lastContact && upToDate >= this->startPeersNeeded();
 }
 
 int ConfigStore::startPeersNeeded() const
--- a/promise/configstore.h
+++ b/promise/configstore.h
@@ -34,7 +34,7 @@
     int probed = 0;
     int known = 0; // hosts
 
-    bool isMost() const;
+    bool isMajority() const;
 };
 
 class ConfigStore
@@ -58,7 +58,7 @@
     void onPeerVersion(const HostId &peer, ConfigVersion version, Instant now);
     bool onPeerRecord(const HostId &peer, const ConfigRecord &record, Instant now);
     // By the operator's command, which has seen the table accept it. No contact: it may be the only thing heard.
-    bool onTold(const ConfigRecord &record);
+    bool onOperatorPush(const ConfigRecord &record);
     void onReach(PeerReach reach, Instant now);
 
     ConfigService service(Instant now) const;
@@ -69,8 +69,8 @@
 
 private:
     bool adopt(const ConfigRecord &record);
-    void noteContact(Instant now);
-    void learnAgain(Instant now);
+    void recordContact(Instant now);
+    void restartLearning(Instant now);
     bool isCutOff(Instant now) const;
     bool knowsHighest(Instant now) const;
     int startPeersNeeded() const;
@@ -83,7 +83,7 @@
     bool tableFailed = false;
     std::optional<Instant> lastContact;
     PeerReach reach;
-    std::set<HostId> peersHeard; // since learning began; at most startPeers are kept
+    std::set<HostId> upToDatePeers; // since learning began; at most startPeers are kept
 };
 
 } // namespace fescuesill
--- a/promise/endpointregistry.cpp
+++ b/promise/endpointregistry.cpp
@@ -12,7 +12,7 @@
 
 bool EndpointRegistry::isWithinGrace(Instant now) const
 {
-    return this->isLost || (this->backSince && now < *this->backSince + this->options.returnGrace);
+    return this->isStoreLost || (this->recoveredAt && now < *this->recoveredAt + this->options.returnGrace);
 }
 
 void EndpointRegistry::onMissing(std::map<EndpointId, Entry>::iterator entry, Instant now)
@@ -22,8 +22,8 @@
         this->entries.erase(entry);
         return;
     }
-    const Instant back = this->isLost ? now : *this->backSince;
-    entry->second.missingUntil = back + this->options.returnGrace;
+    const Instant recovered = this->isStoreLost ? now : *this->recoveredAt;
+    entry->second.missingUntil = recovered + this->options.returnGrace;
 }
 
 void EndpointRegistry::onListed(const std::vector<EndpointRecord> &records, Instant now)
@@ -56,21 +56,21 @@
 
 void EndpointRegistry::onStoreLost(Instant)
 {
-    this->isLost = true;
+    this->isStoreLost = true;
 }
 
-void EndpointRegistry::onStoreBack(Instant now)
+void EndpointRegistry::onStoreRecovered(Instant now)
 {
-    if (!this->isLost) {
+    if (!this->isStoreLost) {
         return;
     }
-    this->isLost = false;
-    this->backSince = now;
+    this->isStoreLost = false;
+    this->recoveredAt = now;
 }
 
 void EndpointRegistry::expire(Instant now)
 {
-    if (this->isLost) {
+    if (this->isStoreLost) {
         return;
     }
     for (auto entry = this->entries.begin(); entry != this->entries.end();) {
--- a/promise/endpointregistry.h
+++ b/promise/endpointregistry.h
@@ -7,7 +7,7 @@
 //     registry.onChanged(record, now);                  // one row
 //     registry.onRemoved(EndpointId("e7"), now);
 //     registry.onStoreLost(now);                        // the table cannot be read
-//     registry.onStoreBack(now);
+//     registry.onStoreRecovered(now);
 //     for (const EndpointRecord *record : registry.usable(service)) { ... }
 //     registry.expire(now);                             // now and then
 
@@ -62,7 +62,7 @@
     void onChanged(const EndpointRecord &record, Instant now);
     void onRemoved(const EndpointId &id, Instant now);
     void onStoreLost(Instant now);
-    void onStoreBack(Instant now);
+    void onStoreRecovered(Instant now);
     // Forgets what stayed missing past its grace.
     void expire(Instant now);
 
@@ -88,8 +88,8 @@
 
     Options options;
     std::map<EndpointId, Entry> entries;
-    bool isLost = false;
-    std::optional<Instant> backSince;
+    bool isStoreLost = false;
+    std::optional<Instant> recoveredAt;
 };
 
 } // namespace fescuesill
--- a/promise/ledgerrecord.cpp
+++ b/promise/ledgerrecord.cpp
@@ -244,7 +244,7 @@
                      WorkspaceId(key.substr(service + 1, workspace - service - 1)), key.substr(workspace + 1)};
 }
 
-bool isDoubtful(const LedgerRecord &record, Instant now, Duration clockMargin)
+bool isInDoubt(const LedgerRecord &record, Instant now, Duration clockMargin)
 {
     return record.state == LedgerState::Open && now > record.deadline + clockMargin;
 }
@@ -256,8 +256,8 @@
     //
     // The same goes for a row that an operator settled: its attempt was never heard of, and a frozen one may yet send.
     // Such rows are as many as operators have settled by hand, so they are kept for good.
-    const bool isHeardOf = record.state == LedgerState::Done || record.state == LedgerState::Released;
-    return isHeardOf && !record.stated && now > record.expiry + clockMargin;
+    const bool isSettledByAttempt = record.state == LedgerState::Done || record.state == LedgerState::Released;
+    return isSettledByAttempt && !record.stated && now > record.expiry + clockMargin;
 }
 
 } // namespace fescuesill
--- a/promise/ledgerrecord.h
+++ b/promise/ledgerrecord.h
@@ -82,7 +82,7 @@
 std::optional<LedgerKey> parseLedgerKey(const std::string &key);
 
 // Whether the outcome of the call is unknown and no longer about to be known.
-bool isDoubtful(const LedgerRecord &record, Instant now, Duration clockMargin);
+bool isInDoubt(const LedgerRecord &record, Instant now, Duration clockMargin);
 
 // Whether the row may be deleted now, or run anew. The margin is the most that two hosts' clocks differ.
 bool mayDelete(const LedgerRecord &record, Instant now, Duration clockMargin);
--- a/promise/ledgersettlement.cpp
+++ b/promise/ledgersettlement.cpp
@@ -56,7 +56,7 @@
 
 SettlementAction LedgerSettlement::read()
 {
-    if (++this->tries > this->options.tries) {
+    if (++this->tableCalls > this->options.maxTableCalls) {
         return this->finish(this->mayHaveWritten ? SettlementOutcome::Unknown : SettlementOutcome::NotMade);
     }
     return settlement_action::Read{this->key};
@@ -84,7 +84,7 @@
 
 SettlementAction LedgerSettlement::onOpen(const LedgerRecord &found, RowVersion version, Instant now)
 {
-    const Duration quiet = this->statement.ran ? Duration(0) : this->options.notRunQuiet;
+    const Duration quiet = this->statement.ran ? Duration(0) : this->options.notRunDelay;
     const Instant earliest = found.deadline + this->options.clockMargin + quiet;
     if (now <= earliest) {
         return settlement_action::Finish{SettlementOutcome::TooEarly, found, earliest - now};
--- a/promise/ledgersettlement.h
+++ b/promise/ledgersettlement.h
@@ -59,9 +59,9 @@
         Duration clockMargin{500ms};
         // Further past it for "not run". A kernel of usual settings gives up sending for a connection without replies
         // within some 15 minutes. Nothing rests on it; it makes a wrong statement unlikely.
-        Duration notRunQuiet{30min};
+        Duration notRunDelay{30min};
         // Table calls altogether; the operator is at hand to try again.
-        int tries = 6;
+        int maxTableCalls = 6;
     };
 
     // The answer goes with a statement that the call ran.
@@ -80,7 +80,7 @@
     LedgerStatement statement;
     std::optional<EndpointAnswer> answer;
     Options options;
-    int tries = 0;
+    int tableCalls = 0;
     bool mayHaveWritten = false;
     std::optional<LedgerRecord> record;
 };
--- a/promise/ledgersweep.cpp
+++ b/promise/ledgersweep.cpp
@@ -57,12 +57,12 @@
 
 LedgerSweep::Counts LedgerSweep::counts() const
 {
-    return this->done;
+    return this->totals;
 }
 
 SweepAction LedgerSweep::start()
 {
-    return this->rest();
+    return this->waitForNextPass();
 }
 
 SweepAction LedgerSweep::on(const SweepEvent &event, Instant now)
@@ -71,27 +71,27 @@
         return this->onReadFailed();
     }
     if (const auto *rows = std::get_if<sweep_event::Rows>(&event)) {
-        return this->state == State::Finding ? this->onFound(*rows) : this->onPage(*rows, now);
+        return this->state == State::FindingServices ? this->onServiceFound(*rows) : this->onPage(*rows, now);
     }
     if (const auto *conflict = std::get_if<sweep_event::Conflict>(&event)) {
         return this->onConflict(conflict->index);
     }
     if (std::holds_alternative<sweep_event::DeleteFailed>(event)) {
-        this->doomed.clear();
-        return this->wait(State::BeforeRead, this->options.troublePause);
+        this->deletable.clear();
+        return this->wait(State::BeforeRead, this->options.failurePause);
     }
     if (std::holds_alternative<sweep_event::Deleted>(event)) {
-        this->done.deleted += this->doomed.size();
-        this->doomed.clear();
+        this->totals.deleted += this->deletable.size();
+        this->deletable.clear();
         return this->afterPage();
     }
     switch (this->state) {
-    case State::Resting:
+    case State::BetweenPasses:
         this->services.clear();
         this->cursor.clear();
-        return this->find();
-    case State::Finding:
-        return this->find();
+        return this->findServices();
+    case State::FindingServices:
+        return this->findServices();
     case State::BeforeDelete:
         return this->sendDelete();
     default:
@@ -99,21 +99,21 @@
     }
 }
 
-SweepAction LedgerSweep::rest()
+SweepAction LedgerSweep::waitForNextPass()
 {
-    return this->wait(State::Resting, this->options.passPause);
+    return this->wait(State::BetweenPasses, this->options.passPause);
 }
 
-SweepAction LedgerSweep::find()
+SweepAction LedgerSweep::findServices()
 {
     if (this->hosts.empty()) {
-        return this->rest();
+        return this->waitForNextPass();
     }
-    this->state = State::Finding;
+    this->state = State::FindingServices;
     return this->read(this->cursor, 1);
 }
 
-SweepAction LedgerSweep::onFound(const sweep_event::Rows &found)
+SweepAction LedgerSweep::onServiceFound(const sweep_event::Rows &found)
 {
     if (found.rows.empty()) {
         return this->beginParts();
@@ -121,15 +121,15 @@
     const std::string service = serviceOf(found.rows.front().key);
     this->services.push_back(service);
     this->cursor = ledgerPrefix + service + endOfService;
-    return this->wait(State::Finding, this->options.findPause);
+    return this->wait(State::FindingServices, this->options.findPause);
 }
 
 SweepAction LedgerSweep::beginParts()
 {
-    this->current = 0;
+    this->currentPart = 0;
     this->cursor.clear();
-    this->doomed.clear();
-    this->isPartEnd = false;
+    this->deletable.clear();
+    this->isPartComplete = false;
     return this->wait(State::BeforeRead, this->pace(this->options.readsPerSecond));
 }
 
@@ -139,65 +139,66 @@
     return sweep_action::Wait{duration};
 }
 
-// The next page of the current part, or the first of the next one that is still this host's.
+// The next page of the currentPart part, or the first of the next one that is still this host's.
 SweepAction LedgerSweep::nextRead()
 {
-    while (this->current < this->services.size() && (this->isPartEnd || !this->isMine(this->services[this->current]))) {
-        ++this->current;
-        this->isPartEnd = false;
+    while (this->currentPart < this->services.size()
+           && (this->isPartComplete || !this->isOwnPart(this->services[this->currentPart]))) {
+        ++this->currentPart;
+        this->isPartComplete = false;
         this->cursor.clear();
-        this->doomed.clear();
+        this->deletable.clear();
     }
-    if (this->current == this->services.size()) {
-        ++this->done.passes;
-        return this->rest();
+    if (this->currentPart == this->services.size()) {
+        ++this->totals.passes;
+        return this->waitForNextPass();
     }
-    const std::string first = ledgerPrefix + this->services[this->current] + '/';
+    const std::string first = ledgerPrefix + this->services[this->currentPart] + '/';
     this->state = State::Reading;
     return this->read(this->cursor.empty() ? first : this->cursor, this->limit);
 }
 
 SweepAction LedgerSweep::read(const std::string &after, std::size_t rows)
 {
-    ++this->done.reads;
+    ++this->totals.reads;
     return sweep_action::Read{after, rows};
 }
 
 SweepAction LedgerSweep::onReadFailed()
 {
-    const State next = this->state == State::Finding ? State::Finding : State::BeforeRead;
+    const State next = this->state == State::FindingServices ? State::FindingServices : State::BeforeRead;
     this->limit = std::max<std::size_t>(1, this->limit / 2);
-    return this->wait(next, this->options.troublePause);
+    return this->wait(next, this->options.failurePause);
 }
 
 SweepAction LedgerSweep::onPage(const sweep_event::Rows &page, Instant now)
 {
-    this->isPartEnd = page.rows.size() < this->limit;
+    this->isPartComplete = page.rows.size() < this->limit;
     for (const SweepRow &row : page.rows) {
-        if (serviceOf(row.key) != this->services[this->current]) {
-            this->isPartEnd = true;
+        if (serviceOf(row.key) != this->services[this->currentPart]) {
+            this->isPartComplete = true;
             break;
         }
         this->cursor = row.key;
-        this->take(row, now);
+        this->examine(row, now);
     }
     this->limit = std::min(this->options.page, this->limit * 2);
-    const bool isFull = this->doomed.size() + this->options.page > this->options.rowsPerDelete;
-    if (isFull || (this->isPartEnd && !this->doomed.empty())) {
+    const bool isFull = this->deletable.size() + this->options.page > this->options.rowsPerDelete;
+    if (isFull || (this->isPartComplete && !this->deletable.empty())) {
         this->batchConflicts = 0;
         return this->wait(State::BeforeDelete, this->pace(this->options.deletesPerSecond));
     }
     return this->afterPage();
 }
 
-void LedgerSweep::take(const SweepRow &row, Instant now)
+void LedgerSweep::examine(const SweepRow &row, Instant now)
 {
-    ++this->done.rows;
+    ++this->totals.rows;
     const auto record = decodeLedgerRecord(row.value);
     if (!record) {
-        ++this->done.malformed;
+        ++this->totals.malformed;
     } else if (mayDelete(*record, now, this->options.clockMargin)) {
-        this->doomed.push_back({row.key, row.version});
+        this->deletable.push_back({row.key, row.version});
     }
 }
 
@@ -206,32 +207,32 @@
     return this->wait(State::BeforeRead, this->pace(this->options.readsPerSecond));
 }
 
-// Failure: the part has gone to another host while this one waited. It does no harm, but two hosts would take the share
-// of one.
+// Failure: the part has gone to another host while this one waited. It does no harm, but two hosts would examine the
+// share of one.
 SweepAction LedgerSweep::sendDelete()
 {
-    if (!this->isMine(this->services[this->current])) {
+    if (!this->isOwnPart(this->services[this->currentPart])) {
         return this->nextRead();
     }
     this->state = State::Deleting;
-    return sweep_action::Delete{this->doomed};
+    return sweep_action::Delete{this->deletable};
 }
 
 SweepAction LedgerSweep::onConflict(std::size_t index)
 {
-    ++this->done.conflicts;
-    if (++this->batchConflicts >= this->options.conflictsPerBatch || index >= this->doomed.size()) {
-        this->doomed.clear();
+    ++this->totals.conflicts;
+    if (++this->batchConflicts >= this->options.conflictsPerBatch || index >= this->deletable.size()) {
+        this->deletable.clear();
     } else {
-        this->doomed.erase(this->doomed.begin() + static_cast<std::ptrdiff_t>(index));
+        this->deletable.erase(this->deletable.begin() + static_cast<std::ptrdiff_t>(index));
     }
-    if (this->doomed.empty()) {
+    if (this->deletable.empty()) {
         return this->afterPage();
     }
     return this->wait(State::BeforeDelete, this->pace(this->options.deletesPerSecond));
 }
 
-bool LedgerSweep::isMine(const std::string &service) const
+bool LedgerSweep::isOwnPart(const std::string &service) const
 {
     return heaviestHost(XXH64(service.data(), service.size(), 0), this->hosts) == this->self;
 }
@@ -239,7 +240,7 @@
 Duration LedgerSweep::pace(double fleetRate) const
 {
     const auto mine = std::count_if(this->services.begin(), this->services.end(),
-                                    [this](const std::string &service) { return this->isMine(service); });
+                                    [this](const std::string &service) { return this->isOwnPart(service); });
     const double share = static_cast<double>(std::max<std::ptrdiff_t>(mine, 1))
         / static_cast<double>(std::max<std::size_t>(this->services.size(), 1));
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / (fleetRate * share)));
--- a/promise/ledgersweep.h
+++ b/promise/ledgersweep.h
@@ -28,7 +28,7 @@
 
 namespace sweep_event
 {
-struct Woken {
+struct TimerExpired {
 };
 // In the order of their keys; fewer than asked for: there are no more.
 struct Rows {
@@ -47,8 +47,8 @@
 };
 } // namespace sweep_event
 
-using SweepEvent = std::variant<sweep_event::Woken, sweep_event::Rows, sweep_event::ReadFailed, sweep_event::Deleted,
-                                sweep_event::Conflict, sweep_event::DeleteFailed>;
+using SweepEvent = std::variant<sweep_event::TimerExpired, sweep_event::Rows, sweep_event::ReadFailed,
+                                sweep_event::Deleted, sweep_event::Conflict, sweep_event::DeleteFailed>;
 
 namespace sweep_action
 {
@@ -57,15 +57,15 @@
     std::string after;
     std::size_t limit = 0;
 };
-struct Doomed {
+struct Deletable {
     std::string key;
     RowVersion version;
 };
 // All or nothing, each row only at its version. Feed back Deleted, Conflict or DeleteFailed.
 struct Delete {
-    std::vector<Doomed> rows;
+    std::vector<Deletable> rows;
 };
-// Feed back Woken after the duration.
+// Feed back TimerExpired after the duration.
 struct Wait {
     Duration duration;
 };
@@ -94,7 +94,7 @@
         Duration passPause{10min};
         Duration findPause{1s};
         // After a read or delete that failed: a table in trouble is left to the callers.
-        Duration troublePause{30s};
+        Duration failurePause{30s};
     };
 
     struct Counts {
@@ -117,17 +117,17 @@
 
 private:
     enum class State {
-        Resting, // between passes
-        Finding, // the services that have rows
+        BetweenPasses, // between passes
+        FindingServices, // the services that have rows
         BeforeRead,
         Reading,
         BeforeDelete,
         Deleting,
     };
 
-    SweepAction rest();
-    SweepAction find();
-    SweepAction onFound(const sweep_event::Rows &found);
+    SweepAction waitForNextPass();
+    SweepAction findServices();
+    SweepAction onServiceFound(const sweep_event::Rows &found);
     SweepAction beginParts();
     SweepAction wait(State next, Duration duration);
     SweepAction nextRead();
@@ -137,22 +137,22 @@
     SweepAction sendDelete();
     SweepAction onConflict(std::size_t index);
     SweepAction onReadFailed();
-    void take(const SweepRow &row, Instant now);
-    bool isMine(const std::string &service) const;
+    void examine(const SweepRow &row, Instant now);
+    bool isOwnPart(const std::string &service) const;
     Duration pace(double fleetRate) const;
 
     HostId self;
     Options options;
     std::vector<HostId> hosts;
-    State state = State::Resting;
+    State state = State::BetweenPasses;
     std::vector<std::string> services; // bounded by the declaration's services
-    std::size_t current = 0;
+    std::size_t currentPart = 0;
     std::string cursor;
-    bool isPartEnd = false;
+    bool isPartComplete = false;
     std::size_t limit;
-    std::vector<sweep_action::Doomed> doomed; // at most rowsPerDelete and a page
+    std::vector<sweep_action::Deletable> deletable; // at most rowsPerDelete and a page
     int batchConflicts = 0;
-    Counts done;
+    Counts totals;
 };
 
 } // namespace fescuesill
--- a/promise/operatorproof.cpp
+++ b/promise/operatorproof.cpp
@@ -20,7 +20,7 @@
 constexpr std::string_view purpose = "fescuesill operator proof";
 constexpr std::size_t headBytes = 1 + 4 + 8;
 // A longer text can't be ours; bounds the work for a forged one.
-constexpr std::size_t mostHeaderBytes = 128;
+constexpr std::size_t maxHeaderBytes = 128;
 
 std::string textOf(const OperatorCommand &command)
 {
@@ -67,7 +67,7 @@
     if (header.empty()) {
         return OperatorFault::Missing;
     }
-    if (header.size() > mostHeaderBytes || header.substr(0, scheme.size()) != scheme) {
+    if (header.size() > maxHeaderBytes || header.substr(0, scheme.size()) != scheme) {
         return OperatorFault::Malformed;
     }
     const std::optional<std::string> proof = fromBase64Url(header.substr(scheme.size()));
--- a/promise/resumetoken.cpp
+++ b/promise/resumetoken.cpp
@@ -72,11 +72,11 @@
 
 tl::expected<ResumeTokens, ResumeKeyError> ResumeTokens::create(std::vector<std::string> keys)
 {
-    if (keys.empty() || keys.size() > mostKeys) {
+    if (keys.empty() || keys.size() > maxKeys) {
         return tl::unexpected(ResumeKeyError{"one or two keys are needed"});
     }
     for (const std::string &key : keys) {
-        if (key.size() < leastKeyBytes) {
+        if (key.size() < minKeyBytes) {
             return tl::unexpected(ResumeKeyError{"a key has fewer than 32 bytes"});
         }
     }
@@ -115,7 +115,7 @@
                                                                Instant now) const
 {
     const std::size_t dot = token.find('.');
-    if (token.size() > mostTokenBytes || dot == std::string_view::npos) {
+    if (token.size() > maxTokenBytes || dot == std::string_view::npos) {
         return tl::unexpected(ResumeTokenError::Malformed);
     }
     const std::optional<std::string> bytes = fromBase64Url(token.substr(0, dot));
--- a/promise/resumetoken.h
+++ b/promise/resumetoken.h
@@ -51,11 +51,11 @@
 {
 public:
     // HMAC-SHA256 keys shorter than its output weaken it.
-    static constexpr std::size_t leastKeyBytes = 32;
+    static constexpr std::size_t minKeyBytes = 32;
     // One that signs and one that is being rotated out.
-    static constexpr std::size_t mostKeys = 2;
+    static constexpr std::size_t maxKeys = 2;
     // A longer token cannot be ours; bounds the work for a forged one.
-    static constexpr std::size_t mostTokenBytes = 1024;
+    static constexpr std::size_t maxTokenBytes = 1024;
 
     static tl::expected<ResumeTokens, ResumeKeyError> create(std::vector<std::string> keys);
 
--- a/promise/tablereading.cpp
+++ b/promise/tablereading.cpp
@@ -12,8 +12,8 @@
 //
 // Failure: the readers are dead, frozen or cut off from the table, and nobody has noticed yet. It would show as a
 // change that is in force nowhere, while every host thinks that others look. Here the ages grow, and each host reads
-// itself once they are stale, whoever the readers were; what it reads makes the others' ages young again. Nothing rests
-// on finding out that a reader is dead.
+// itself once they are staleAfter, whoever the readers were; what it reads makes the others' ages young again. Nothing
+// rests on finding out that a reader is dead.
 //
 // A host that learns, is cut off, hears too few others or knows that it is behind reads itself in any case.
 //
@@ -25,7 +25,7 @@
 namespace
 {
 
-std::uint64_t weigh(const HostId &host)
+std::uint64_t hostWeight(const HostId &host)
 {
     return XXH64(host.value().data(), host.value().size(), 0);
 }
@@ -34,9 +34,10 @@
 
 bool isTableReader(const HostId &self, const std::vector<HostId> &hosts, std::size_t readers)
 {
-    const auto own = std::make_pair(weigh(self), self);
-    const auto heavier = std::count_if(hosts.begin(), hosts.end(),
-                                       [&own](const HostId &host) { return own < std::make_pair(weigh(host), host); });
+    const auto own = std::make_pair(hostWeight(self), self);
+    const auto heavier = std::count_if(hosts.begin(), hosts.end(), [&own](const HostId &host) {
+        return own < std::make_pair(hostWeight(host), host);
+    });
     return static_cast<std::size_t>(heavier) < readers;
 }
 
@@ -47,7 +48,7 @@
 
 void TableReading::onRead(Instant now)
 {
-    this->newest = now;
+    this->newestRead = now;
     this->lastFailed.reset();
 }
 
@@ -56,28 +57,28 @@
     this->lastFailed = now;
 }
 
-void TableReading::onHeard(Duration age, Instant now)
+void TableReading::onPeerReadAge(Duration age, Instant now)
 {
     const Instant made = now - std::max(age, Duration(0));
-    this->newest = std::max(this->newest.value_or(made), made);
+    this->newestRead = std::max(this->newestRead.value_or(made), made);
 }
 
 bool TableReading::isDue(const Situation &situation, Instant now) const
 {
-    const bool mustRead = situation.isReader || !situation.isServing || !situation.hearsMost;
+    const bool mustRead = situation.isReader || !situation.isServing || !situation.hearsMajority;
     if (mustRead) {
         return true;
     }
     if (this->lastFailed) {
-        return now - *this->lastFailed >= this->options.failedPause;
+        return now - *this->lastFailed >= this->options.failurePause;
     }
-    return situation.isBehind || !this->newest || now - *this->newest >= this->options.stale;
+    return situation.isBehind || !this->newestRead || now - *this->newestRead >= this->options.staleAfter;
 }
 
 std::optional<Duration> TableReading::age(Instant now) const
 {
-    const bool helps = this->newest && now - *this->newest < this->options.stale;
-    return helps ? std::optional<Duration>(now - *this->newest) : std::nullopt;
+    const bool helps = this->newestRead && now - *this->newestRead < this->options.staleAfter;
+    return helps ? std::optional<Duration>(now - *this->newestRead) : std::nullopt;
 }
 
 } // namespace fescuesill
--- a/promise/tablereading.h
+++ b/promise/tablereading.h
@@ -5,7 +5,7 @@
 //     TableReading reading(options);
 //     reading.onRead(now);                              // our own read succeeded; onFailed(now): it did not
 //     probe.tableReadAge = reading.age(now);            // on every probe that is sent
-//     reading.onHeard(*probe.tableReadAge, now);        // on every probe that comes, after its facts were taken
+//     reading.onPeerReadAge(*probe.tableReadAge, now);        // on every probe that comes, after its facts were taken
 //     if (reading.isDue(situation, now)) { ... read the table ... }
 //     const bool reads = isTableReader(self, liveHostsOfItsDataCentre, options.readers);
 
@@ -29,15 +29,15 @@
         std::size_t readers = 3;
         // A host that has heard of no read younger than this reads itself. With its own pause of at most 1.2 s it
         // bounds how late a change is seen when every reader fails at once, below the six seconds of the promise.
-        Duration stale{3s};
+        Duration staleAfter{3s};
         // After a read that failed, where others are to read: a table that refuses must not hear from everybody at
         // once.
-        Duration failedPause{4s};
+        Duration failurePause{4s};
     };
     struct Situation {
         bool isReader = true;
         bool isServing = false; // not learning, not cut off
-        bool hearsMost = false; // most of the last probes were answered
+        bool hearsMajority = false; // most of the last probes were answered
         bool isBehind = false; // a higher version than the one in force is known of
     };
 
@@ -46,7 +46,7 @@
     void onRead(Instant now);
     void onFailed(Instant now);
     // A peer knows of a read that is this old. Its facts were taken first, so whatever that read found is known here.
-    void onHeard(Duration age, Instant now);
+    void onPeerReadAge(Duration age, Instant now);
 
     bool isDue(const Situation &situation, Instant now) const;
     // Of the youngest read known of; none where there is none that helps anybody.
@@ -54,7 +54,7 @@
 
 private:
     Options options;
-    std::optional<Instant> newest; // when the youngest read known of was made
+    std::optional<Instant> newestRead; // when the youngest read known of was made
     std::optional<Instant> lastFailed; // our own, none since it succeeded
 };
 
--- a/promise/testing/attempt_test.cpp
+++ b/promise/testing/attempt_test.cpp
@@ -192,7 +192,7 @@
     EXPECT_EQ(stateWritten(action), LedgerState::Released);
     action = attempt.on(table::NoReply{}, start);
     ASSERT_TRUE(std::holds_alternative<Wait>(action));
-    attempt.on(attempt_event::Woken{}, start + 5s);
+    attempt.on(attempt_event::TimerExpired{}, start + 5s);
     action = attempt.on(table::Conflict{rowOf("a1", LedgerState::Open, RowVersion(3))}, start + 5s);
     EXPECT_EQ(std::get<Write>(action).write.ifVersion, RowVersion(3));
     EXPECT_TRUE(std::holds_alternative<Stop>(attempt.on(table::Written{RowVersion(4)}, start + 5s)));
--- a/promise/testing/endpointregistry_test.cpp
+++ b/promise/testing/endpointregistry_test.cpp
@@ -41,7 +41,7 @@
     EndpointRegistry registry({});
     registry.onListed({record("back"), record("gone")}, start);
     registry.onStoreLost(start + 1s);
-    registry.onStoreBack(start + 6s);
+    registry.onStoreRecovered(start + 6s);
     registry.onListed({}, start + 6s);
     EXPECT_EQ(registry.usable(service).size(), 2U);
     registry.onChanged(record("back"), start + 7s);
@@ -58,7 +58,7 @@
     leaving.isLeaving = true;
     registry.onListed({record("live"), leaving}, start);
     registry.onStoreLost(start);
-    registry.onStoreBack(start + 1s);
+    registry.onStoreRecovered(start + 1s);
     registry.onRemoved(EndpointId("leaving"), start + 1s);
     registry.onRemoved(EndpointId("live"), start + 1s);
     EXPECT_EQ(registry.size(), 1U);
@@ -71,7 +71,7 @@
     EndpointRegistry registry({});
     registry.onListed({record("a")}, start);
     registry.onStoreLost(start);
-    registry.onStoreBack(start + 1s);
+    registry.onStoreRecovered(start + 1s);
     registry.onRemoved(EndpointId("a"), start + 4s);
     EXPECT_EQ(registry.size(), 0U);
 }
--- a/promise/testing/ledgersweep_test.cpp
+++ b/promise/testing/ledgersweep_test.cpp
@@ -43,15 +43,15 @@
         }
         return found;
     }
-    SweepEvent remove(const sweep_action::Delete &doomed)
+    SweepEvent remove(const sweep_action::Delete &batch)
     {
-        for (std::size_t i = 0; i < doomed.rows.size(); ++i) {
-            const auto row = this->rows.find(doomed.rows[i].key);
-            if (row == this->rows.end() || row->second.version != doomed.rows[i].version) {
+        for (std::size_t i = 0; i < batch.rows.size(); ++i) {
+            const auto row = this->rows.find(batch.rows[i].key);
+            if (row == this->rows.end() || row->second.version != batch.rows[i].version) {
                 return sweep_event::Conflict{i};
             }
         }
-        for (const sweep_action::Doomed &row : doomed.rows) {
+        for (const sweep_action::Deletable &row : batch.rows) {
             ++this->versions[row.key];
             this->rows.erase(row.key);
         }
@@ -62,10 +62,10 @@
         if (const auto *wanted = std::get_if<sweep_action::Read>(&action)) {
             return this->read(*wanted);
         }
-        if (const auto *doomed = std::get_if<sweep_action::Delete>(&action)) {
-            return this->remove(*doomed);
+        if (const auto *batch = std::get_if<sweep_action::Delete>(&action)) {
+            return this->remove(*batch);
         }
-        return sweep_event::Woken{};
+        return sweep_event::TimerExpired{};
     }
 
     std::map<std::string, SweepRow> rows;
@@ -174,7 +174,7 @@
         const bool isTooMuch = read != nullptr && read->limit > 3;
         action = sweep.on(isTooMuch ? SweepEvent(sweep_event::ReadFailed{}) : table.perform(action), start);
         if (isTooMuch) {
-            EXPECT_EQ(std::get<sweep_action::Wait>(action).duration, LedgerSweep::Options().troublePause);
+            EXPECT_EQ(std::get<sweep_action::Wait>(action).duration, LedgerSweep::Options().failurePause);
         }
     }
     EXPECT_TRUE(table.rows.empty());
--- a/promise/testing/orphanfinder_test.cpp
+++ b/promise/testing/orphanfinder_test.cpp
@@ -83,7 +83,7 @@
         step = cancellation.onFailed(now);
         now += step.wait;
         if (step.kind == CancelStep::Wait) {
-            step = cancellation.onWoken();
+            step = cancellation.onTimerExpired();
         }
     }
     EXPECT_EQ(step.kind, CancelStep::LeaveToOwner);
--- a/promise/testing/tablereading_test.cpp
+++ b/promise/testing/tablereading_test.cpp
@@ -35,7 +35,7 @@
     for (const Case &one : cases) {
         TableReading reading({});
         EXPECT_TRUE(reading.isDue(relies, start));
-        reading.onHeard(1s, start);
+        reading.onPeerReadAge(1s, start);
         EXPECT_EQ(reading.isDue(one.situation, start + 1s), one.isDue) << one.what;
         EXPECT_TRUE(reading.isDue(one.situation, start + 3s)) << one.what;
     }
@@ -45,10 +45,10 @@
 {
     TableReading reading({});
     EXPECT_FALSE(reading.age(start));
-    reading.onHeard(1s, start);
-    reading.onHeard(2s, start);
+    reading.onPeerReadAge(1s, start);
+    reading.onPeerReadAge(2s, start);
     EXPECT_EQ(reading.age(start + 1s), Duration(2s));
-    reading.onHeard(Duration(-5s), start + 1s);
+    reading.onPeerReadAge(Duration(-5s), start + 1s);
     EXPECT_EQ(reading.age(start + 1s), Duration(0));
     reading.onRead(start + 2s);
     EXPECT_EQ(reading.age(start + 4s), Duration(2s));
@@ -201,7 +201,7 @@
         Host &host = this->hosts[at];
         auto answers = host.membership->onMessage(message, this->now);
         if (message.tableReadAge) {
-            host.reading.onHeard(*message.tableReadAge, this->now);
+            host.reading.onPeerReadAge(*message.tableReadAge, this->now);
         }
         this->send(at, std::move(answers));
     }
@@ -216,7 +216,7 @@
         situation.isReader = host.isReader =
             isTableReader(hostOf(at), host.membership->owners(host.membership->self().dataCentre), 3);
         situation.isServing = host.store.service(this->now) == ConfigService::Serving;
-        situation.hearsMost = host.membership->reach().isMost();
+        situation.hearsMajority = host.membership->reach().isMajority();
         situation.isBehind = host.store.wanted().has_value();
         if (this->now >= host.nextRead) {
             host.nextRead = this->now + 1200ms;
--- a/promise/testing/writebatch_test.cpp
+++ b/promise/testing/writebatch_test.cpp
@@ -42,7 +42,7 @@
 TEST(WriteBatch, RefusesWhatItCannotKeep)
 {
     WriteBatch::Options options;
-    options.mostWaiting = 2;
+    options.maxWaiting = 2;
     WriteBatch batch(options);
     EXPECT_TRUE(batch.add(1, {"a", "", absent}, start));
     EXPECT_TRUE(batch.add(2, {"b", "", absent}, start));
--- a/promise/writebatch.cpp
+++ b/promise/writebatch.cpp
@@ -17,13 +17,13 @@
 
 WriteBatch::WriteBatch(Options options)
     : options(options)
-    , limit(options.mostWrites)
+    , limit(options.maxWrites)
 {
 }
 
 bool WriteBatch::add(WriteTicket ticket, TableWrite write, Instant now)
 {
-    if (this->waiting.size() >= this->options.mostWaiting) {
+    if (this->waiting.size() >= this->options.maxWaiting) {
         return false;
     }
     this->waiting.push_back(Item{ticket, std::move(write), now + this->options.window});
@@ -38,11 +38,11 @@
     }
     BatchCommit commit;
     Items items;
-    std::set<std::string> passedOver;
+    std::set<std::string> skippedKeys;
     for (auto item = this->waiting.begin(); item != this->waiting.end() && items.size() < this->limit;) {
         const std::string &key = item->write.key;
-        if (this->keysInFlight.count(key) != 0 || passedOver.count(key) != 0) {
-            passedOver.insert(key);
+        if (this->keysInFlight.count(key) != 0 || skippedKeys.count(key) != 0) {
+            skippedKeys.insert(key);
             ++item;
             continue;
         }
@@ -58,7 +58,7 @@
 
 std::optional<Instant> WriteBatch::due() const
 {
-    if (this->inFlight.size() >= this->options.mostInFlight) {
+    if (this->inFlight.size() >= this->options.maxInFlight) {
         return std::nullopt;
     }
     // Writes behind one of the same key that is under way wait for its result, not for a time: a program that was told
@@ -73,7 +73,7 @@
 
 std::vector<BatchResult> WriteBatch::onCommitted(std::uint64_t id, const std::vector<RowVersion> &versions)
 {
-    this->limit = std::min(2 * this->limit, this->options.mostWrites);
+    this->limit = std::min(2 * this->limit, this->options.maxWrites);
     const Items items = this->remove(id);
     std::vector<BatchResult> results;
     for (std::size_t i = 0; i < items.size(); ++i) {
@@ -109,12 +109,12 @@
 
 std::vector<BatchResult> WriteBatch::onRefused(std::uint64_t id)
 {
-    return this->endAll(id, {0, table::Refused{}});
+    return this->completeAll(id, {0, table::Refused{}});
 }
 
 std::vector<BatchResult> WriteBatch::onNoReply(std::uint64_t id)
 {
-    return this->endAll(id, {0, table::NoReply{}});
+    return this->completeAll(id, {0, table::NoReply{}});
 }
 
 WriteBatch::Items WriteBatch::remove(std::uint64_t id)
@@ -131,7 +131,7 @@
     return items;
 }
 
-std::vector<BatchResult> WriteBatch::endAll(std::uint64_t id, const BatchResult &model)
+std::vector<BatchResult> WriteBatch::completeAll(std::uint64_t id, const BatchResult &model)
 {
     std::vector<BatchResult> results;
     for (const Item &item : this->remove(id)) {
--- a/promise/writebatch.h
+++ b/promise/writebatch.h
@@ -42,11 +42,11 @@
         // What a booking waits for others: a tenth of what a commit takes.
         Duration window{3ms};
         // Writes of one commit; 64 rows with answers stay below some 4 MB.
-        std::size_t mostWrites = 64;
+        std::size_t maxWrites = 64;
         // Commits under way at once. With more a slow store is only asked more.
-        std::size_t mostInFlight = 4;
+        std::size_t maxInFlight = 4;
         // Writes waiting: a second's worth. Beyond it they are refused at once.
-        std::size_t mostWaiting = 1024;
+        std::size_t maxWaiting = 1024;
     };
 
     explicit WriteBatch(Options options);
@@ -73,7 +73,7 @@
     using Items = std::vector<Item>;
 
     Items remove(std::uint64_t id);
-    std::vector<BatchResult> endAll(std::uint64_t id, const BatchResult &model);
+    std::vector<BatchResult> completeAll(std::uint64_t id, const BatchResult &model);
 
     Options options;
     std::deque<Item> waiting;
--- a/testing/callworld.cpp
+++ b/testing/callworld.cpp
@@ -144,7 +144,7 @@
 void CallWorld::operatorLooks()
 {
     LedgerSettlement::Options limits;
-    limits.notRunQuiet = Duration(0);
+    limits.notRunDelay = Duration(0);
     const LedgerStatement statement{"eleni", "looked", changeId, Instant(), this->executions > 0};
     LedgerSettlement settlement(ledgerKey(ServiceId("bookings"), WorkspaceId("karamanlis"), key), statement,
                                 std::nullopt, limits);
@@ -218,7 +218,7 @@
     } else if (const auto *wait = std::get_if<attempt_action::Wait>(&action)) {
         this->simulation.after(wait->duration, [next, &process] {
             if (process.alive) {
-                next(attempt_event::Woken{});
+                next(attempt_event::TimerExpired{});
             }
         });
     }
--- a/testing/callworld.h
+++ b/testing/callworld.h
@@ -22,7 +22,7 @@
 public:
     struct Options {
         bool resultQuery = false;
-        int tries = 7; // of the caller, the last one after six days, within Attempt::Options::keep
+        int tries = 7; // of the caller, the last one after six days, within Attempt::Options::retention
         // An operator looks at the endpoint once the caller has given up, and settles the row by what stands there
         // then.
         bool operatorSettles = false;
--- a/testing/configworld.cpp
+++ b/testing/configworld.cpp
@@ -218,7 +218,7 @@
     TableReading::Situation situation;
     situation.isReader = this->isReader(host);
     situation.isServing = host.store.service(this->simulation.now) == ConfigService::Serving;
-    situation.hearsMost = host.reach.isMost();
+    situation.hearsMajority = host.reach.isMajority();
     situation.isBehind = host.store.wanted().has_value();
     return host.reading.isDue(situation, this->simulation.now);
 }
@@ -245,7 +245,7 @@
             host.store.onPeerRecord(peer->id, *peer->store.inForce(), this->simulation.now);
         }
         if (age) {
-            host.reading.onHeard(*age, this->simulation.now);
+            host.reading.onPeerReadAge(*age, this->simulation.now);
         }
     }
     host.reach = reach;
--- a/testing/streamworld.cpp
+++ b/testing/streamworld.cpp
@@ -266,7 +266,7 @@
     if (step.kind == CancelStep::Wait) {
         this->simulation.after(step.wait, [this, &entry] {
             if (entry.process.alive) {
-                this->onCancelStep(entry, entry.cancellation.onWoken());
+                this->onCancelStep(entry, entry.cancellation.onTimerExpired());
             }
         });
     } else if (step.kind == CancelStep::Delete) {
