--- a/promise/attempt.cpp
+++ b/promise/attempt.cpp
@@ -4,42 +4,43 @@
 #include <stdexcept>
 #include <utility>
 
-// The ledger row is the only thing that decides, and it decides by compare-and-set:
+// The ledger row alone decides which attempt may send. All writes to it are compare-and-set:
 //
 //     absent ──insert──▶ open ──▶ done (answer)
 //        ▲                │
-//        │             release by the attempt that never sent
+//        │             released by the attempt that never sent
 //        │                ▼
 //        └──(expiry)── released ──insert by any attempt──▶ open
 //
-// An operator settles a row in doubt (promise/ledgersettlement.h): open becomes done, or closed, which no attempt takes
-// over. An answer that turns up later overrules what was stated.
+// An operator settles a row whose outcome is in doubt (promise/ledgersettlement.h): the row becomes done, or closed, in
+// which case no attempt takes it over. An answer that arrives later overrides the operator's statement.
 //
-// Why at most once. An attempt sends only after it knows that the row holds its own token, and sends once. The row goes
-// from one token to another only through `released`, which only the attempt that wrote it may set, and only if it never
-// sent and by its state never will; or through the expiry of a settled row, days after. Two attempts under one key
-// therefore never both send. An open row does not expire: its caller may come back at any time. No clock is part of
-// this but for the expiry of settled rows.
+// At-most-once guarantee. An attempt sends only after it has confirmed that the row holds its own token, and sends
+// once. The row passes from one token to another in two ways only. The attempt that wrote the row sets `released`, and
+// only if it has not sent and its state no longer permits sending. Or a settled row expires, days later. Two attempts
+// under one key therefore never both send. An open row does not expire, because its caller may retry at any time. The
+// guarantee depends on clocks only for the expiry of settled rows.
 //
-// The insert is the mark "may have been sent". A second write ("sending") between insert and send was rejected: an
-// entry that dies between the second write and the send leaves the same doubt as one that dies between insert and send,
-// so it costs a write out of several hundred a second and moves the window instead of closing it. What is slow
-// (admission, queueing, reading the body) comes before the insert.
+// The insert marks the call as possibly sent. A second write ("sending") between insert and send was rejected: an entry
+// that fails between the second write and the send leaves the same uncertainty as one that fails between insert and
+// send. It would cost one of the several hundred writes a second and only move the window. Slow steps (admission,
+// queueing, reading the body) precede the insert.
 //
-// A lost reply of the insert is resolved by reading the token back; absent means that it may still land, so the insert
-// is tried again with the same condition, and a conflict with the own token is success.
+// A lost reply to the insert is resolved by reading the token back. If the row is absent, the insert may still take
+// effect, so it is retried with the same condition; a conflict with the attempt's own token counts as success.
 //
-// When the row cannot be read back, "not run" is still true of this attempt: it has not sent and its state has no way
-// back to sending. But its insert may stand or still land, and would block the key for ever. So after the reply it
-// writes `released` until the table takes it; where the insert has not landed yet, that row makes the insert fail when
-// it does. If the entry dies first, the key stays open: doubt, not a second run.
+// If the row cannot be read back, "not run" is still correct for this attempt: it has not sent, and its state no longer
+// permits sending. But its insert may have taken effect or may do so later, and would block the key permanently.
+// Therefore the attempt writes `released` after the reply until the table accepts it. If the insert has not taken
+// effect by then, the released row makes it fail. If the entry fails first, the key stays open: the outcome is unknown,
+// but the call does not run twice.
 //
-// A caller that repeats a key in an outage may have run it through another entry. An entry that cannot read the ledger
-// then has no right to say "not run": it asks the endpoint where it can be asked, and says "outcome unknown" to callers
-// who say that they repeat.
+// A caller that repeats a key during an outage may have run the call through another entry. An entry that cannot read
+// the ledger must then not report "not run": it queries the endpoint if the endpoint supports that, and reports
+// "outcome unknown" to callers that declare a repeat.
 //
-// The caller is answered before the answer is stored: it waits for one write less, and a crash between costs a
-// repeater the stored answer and never a second run.
+// The reply precedes storing the answer, which saves the caller one write of latency. A crash in between loses the
+// stored answer for repeats but never causes a second run.
 
 namespace fescuesill
 {
@@ -62,7 +63,7 @@
 
 [[noreturn]] void throwUnexpectedEvent()
 {
-    throw std::logic_error("attempt: the event does not answer the action");
+    throw std::logic_error("attempt: unexpected event for the current state");
 }
 
 Refusal unknownOutcome(std::string text, std::optional<Duration> retryAfter)
@@ -163,31 +164,31 @@
     if (!is<table::NoReply>(event)) {
         throwUnexpectedEvent();
     }
-    // Failure: the write took effect and its reply was lost. It shows as silence. Only the row itself tells.
+    // The write may have taken effect although its reply was lost; only reading the row resolves this.
     this->insertMayTakeEffect = true;
     return this->tableCalls < this->options.maxTableCallsBeforeReply ? this->readBack() : this->onStoreUnavailable(now);
 }
 
 AttemptAction Attempt::onReadingBack(const AttemptEvent &event, Instant now)
 {
-    const bool triesLeft = this->tableCalls < this->options.maxTableCallsBeforeReply;
+    const bool hasCallsLeft = this->tableCalls < this->options.maxTableCallsBeforeReply;
     if (const auto *read = get<table::RowRead>(event)) {
         if (read->row) {
             return this->onRow(*read->row, now);
         }
-        return triesLeft ? this->insert(absent) : this->onStoreUnavailable(now);
+        return hasCallsLeft ? this->insert(absent) : this->onStoreUnavailable(now);
     }
     if (!is<table::ReadFailed>(event)) {
         throwUnexpectedEvent();
     }
-    return triesLeft ? this->readBack() : this->onStoreUnavailable(now);
+    return hasCallsLeft ? this->readBack() : this->onStoreUnavailable(now);
 }
 
 AttemptAction Attempt::onRow(const TableRow &row, Instant now)
 {
     const auto found = decodeLedgerRecord(row.value);
     if (!found) {
-        // Never taken for an absent row: what it stood for may have run.
+        // Must not be treated as an absent row: the call that it recorded may have run.
         return this->reply(unknownOutcome("the ledger row does not parse: " + found.error().text, std::nullopt));
     }
     if (found->attempt != this->call.attempt) {
@@ -219,8 +220,9 @@
     return this->onOtherOpen(found, version, now);
 }
 
-// Another attempt may have sent, may be about to, or may have died. None of these can be told apart from here, also not
-// by the clock: a frozen entry's bytes can wait in its kernel. So the call is not run here, whatever the time.
+// Another attempt may have sent, may be about to send, or may have failed. These cases cannot be distinguished here,
+// not even by the clock, because the bytes of a frozen entry can remain in its kernel. So the call is never run here,
+// however much time has passed.
 AttemptAction Attempt::onOtherOpen(const LedgerRecord &found, RowVersion version, Instant now)
 {
     const Instant settledBy = found.deadline + this->options.clockMargin;
@@ -229,7 +231,8 @@
                                    std::min(settledBy - now, maxRetryAfter)});
     }
     if (!this->call.resultQuery) {
-        return this->reply(unknownOutcome("an earlier try may have run the call and left no answer", std::nullopt));
+        return this->reply(
+            unknownOutcome("an earlier attempt may have run the call; its answer is not known", std::nullopt));
     }
     this->other = found;
     this->rowVersion = version;
@@ -240,8 +243,8 @@
 AttemptAction Attempt::onOwnInsert(RowVersion version, Instant now)
 {
     this->rowVersion = version;
-    // Failure: the entry is frozen between insert and send and thaws when the caller has long asked elsewhere. It shows
-    // as a booking that appears hours late. The time is taken after the insert, so a frozen entry sees that it was.
+    // An entry that is frozen between insert and send and resumes after its caller has retried elsewhere would make a
+    // booking hours late. The time is read after the insert, so the entry detects that it was frozen.
     if (now >= this->sendBy) {
         return this->release(
             Refusal{RefusalCode::Overloaded, RunState::NotRun, "the call could not be sent in time", 1s}, now);
@@ -264,7 +267,7 @@
         throwUnexpectedEvent();
     }
     if (!this->call.resultQuery) {
-        return this->reply(unknownOutcome("the endpoint took the call and gave no answer", std::nullopt));
+        return this->reply(unknownOutcome("the call was sent but no complete answer was received", std::nullopt));
     }
     this->state = State::QueryingOwnResult;
     return attempt_action::QueryResult{};
@@ -275,7 +278,8 @@
     if (const auto *found = get<attempt_event::ResultFound>(event)) {
         return this->answered(found->answer, this->record, now);
     }
-    return this->reply(unknownOutcome("the endpoint took the call and gave no answer", this->options.storeRetryAfter));
+    return this->reply(
+        unknownOutcome("the call was sent but no complete answer was received", this->options.storeRetryAfter));
 }
 
 AttemptAction Attempt::onOtherResult(const AttemptEvent &event, Instant now)
@@ -286,8 +290,8 @@
     return this->replyOtherUnknown();
 }
 
-// The digest in the ledger cannot be read, so a result may be that of another body under the key: it is evidence that
-// something ran and not this caller's answer.
+// The digest in the ledger cannot be read, so the result may belong to another body under the same key. It proves that
+// a call ran but is not returned as this caller's answer.
 AttemptAction Attempt::onOutageResult(const AttemptEvent &event, Instant now)
 {
     if (is<attempt_event::ResultFound>(event)) {
@@ -313,10 +317,10 @@
         this->settlement->expiry = now + this->options.retention;
     }
     if (this->call.repeat) {
-        return this->reply(unknownOutcome("the ledger cannot be read, and an earlier try may have run the call",
+        return this->reply(unknownOutcome("the ledger is unavailable, and an earlier attempt may have run the call",
                                           this->options.storeRetryAfter));
     }
-    return this->reply(Refusal{RefusalCode::StoreUnavailable, RunState::NotRun, "the ledger cannot take the call",
+    return this->reply(Refusal{RefusalCode::StoreUnavailable, RunState::NotRun, "the ledger is unavailable",
                                this->options.storeRetryAfter});
 }
 
@@ -344,7 +348,7 @@
         return this->reply(*done.answer);
     }
     const char *const text =
-        done.stated ? "the call ran; its answer is not known" : "the call ran; its answer was too large to be kept";
+        done.stated ? "the call ran; its answer is not known" : "the call ran; its answer was too large to be stored";
     return this->reply(Refusal{RefusalCode::OutcomeUnknown, RunState::Ran, text, std::nullopt});
 }
 
--- a/promise/attempt.h
+++ b/promise/attempt.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The life of one call that may run at most once, from the caller's request to the answer in the ledger.
+// State machine of one at-most-once call, from the caller's request to the answer stored in the ledger.
 //
 //     Attempt attempt(call, options);
 //     AttemptAction action = attempt.on(attempt_event::Start{}, sharedNow());
@@ -9,8 +9,8 @@
 //         action = attempt.on(event, sharedNow());
 //     }
 //
-// Time is shared time: Instant counted from the Unix epoch. The caller's leaving does not end an attempt: run it on to
-// Stop, so that a repeat finds the answer. Reply comes once and is not the last action.
+// Times are shared time: Instant counted from the Unix epoch. If the caller disconnects, continue the attempt until
+// Stop so that a repeat finds the answer. Reply occurs exactly once and is not the last action.
 
 #include "fescuesill/errors.h"
 #include "promise/ledgerrecord.h"
@@ -28,10 +28,11 @@
     WorkspaceId workspace;
     std::string idempotencyKey;
     std::string bodyDigest;
-    AttemptId attempt; // fresh and never used again
+    AttemptId attempt; // unique, never reused
     HostId entry;
-    bool resultQuery = false; // the endpoint can be asked for the result of a key
-    // The caller says that it sent this key before. Then "not run" is never said while the ledger cannot be read.
+    bool resultQuery = false; // the endpoint can be queried for the result of a key
+    // The caller declares that it sent this key before. "Not run" is then never reported while the ledger cannot be
+    // read.
     bool repeat = false;
     Duration endpointDeadline{2s};
 };
@@ -40,20 +41,20 @@
 {
 struct Start {
 };
-// The endpoint's whole answer.
+// The endpoint returned a complete answer.
 struct Answered {
     EndpointAnswer answer;
 };
-// Surely no byte of the call reached the endpoint: no connection, or sendBy had passed before the first write.
+// No byte of the call reached the endpoint: there was no connection, or sendBy had passed before the first write.
 struct NeverSent {
 };
-// Some of the call was sent and no whole answer came.
+// Part of the call was sent and no complete answer was received.
 struct AnswerLost {
 };
 struct ResultFound {
     EndpointAnswer answer;
 };
-// The endpoint knows no result under the key (yet).
+// The endpoint has no result under the key, or not yet.
 struct ResultAbsent {
 };
 struct ResultUnknown {
@@ -79,15 +80,15 @@
 struct Read {
     std::string key;
 };
-// Compare the clock with sendBy once more right before the first byte; several endpoints may be tried until one takes a
-// byte. Feed back Answered, NeverSent or AnswerLost.
+// Compare the clock with sendBy again immediately before the first byte. Several endpoints may be tried until one has
+// received a byte. Feed back Answered, NeverSent or AnswerLost.
 struct Send {
     Instant sendBy;
 };
 // GET /results/KEY. Feed back ResultFound, ResultAbsent or ResultUnknown.
 struct QueryResult {
 };
-// Answer the caller. Feed back Replied, also when the caller has gone.
+// Answer the caller. Feed back Replied, even if the caller has disconnected.
 struct Reply {
     std::variant<EndpointAnswer, Refusal> with;
 };
@@ -95,7 +96,7 @@
 struct Wait {
     Duration duration;
 };
-// Nothing is left to do.
+// The attempt is complete.
 struct Stop {
 };
 } // namespace attempt_action
@@ -108,30 +109,30 @@
 {
 public:
     struct Options {
-        // How long after the start the call may still be sent; an entry frozen for longer does not send.
+        // Time after the start within which the call may be sent; an entry frozen for longer does not send.
         Duration sendWindow{2s};
-        // The most that two hosts' clocks differ; platforms with time service stay far below.
+        // Maximum difference between two hosts' clocks; platforms with a time service stay far below it.
         Duration clockMargin{500ms};
-        // How long a settled row is kept. Callers may repeat a key this long. A row in doubt is kept until an operator
-        // settles it.
+        // How long a settled row is kept and thus how long callers may repeat a key. A row in doubt is kept until an
+        // operator settles it.
         Duration retention{168h};
-        // Larger answers reach the caller but are not kept: a row must stay small for the table.
+        // Larger answers are returned to the caller but not stored, because the table requires small rows.
         Bytes maxStoredAnswer{64 * 1024};
-        // Table calls before the caller is answered: insert and read back, twice. More only add to a store in trouble.
+        // Allows insert and read back, twice. More calls would add load to an already failing table.
         int maxTableCallsBeforeReply = 4;
-        // Table calls after the caller was answered, to complete or release the row: with retryWait about 10 minutes.
+        // Calls that complete or release the row; with retryWait they span about 10 minutes.
         int maxTableCallsAfterReply = 120;
         Duration retryWait{5s};
-        // When to come back in an outage of the table.
+        // Retry-After sent to callers during an outage of the table.
         Duration storeRetryAfter{3s};
     };
 
     Attempt(AttemptCall call, Options options);
 
-    // One event in, the one next action out. An event that does not fit the state throws std::logic_error.
+    // Processes one event and returns the next action. Throws std::logic_error if the event does not fit the state.
     AttemptAction on(const AttemptEvent &event, Instant now);
 
-    // Whether the call may have reached an endpoint through this attempt.
+    // Whether this attempt may have sent the call to an endpoint.
     bool maySent() const;
 
 private:
@@ -143,9 +144,9 @@
         QueryingOwnResult,
         QueryingOtherResult,
         QueryingInOutage,
-        Releasing, // before the caller is told that the call was not run
+        Releasing, // before "not run" is reported to the caller
         Replying,
-        Settling, // after the reply: the answer or the release goes to the row
+        Settling, // after the reply: the answer or the release is written to the row
         SettlingWait,
         Stopped,
     };
@@ -181,17 +182,17 @@
     Options options;
     State state = State::New;
     std::string key;
-    LedgerRecord record; // this attempt's own, as inserted
-    LedgerRecord other; // the open one of another attempt, while the endpoint is asked for it
+    LedgerRecord record; // of this attempt, as inserted
+    LedgerRecord other; // of another attempt, while the endpoint is queried for its result
     Instant sendBy;
-    // The row as last known; the next write names it.
+    // Last known version of the row; the condition of the next write.
     RowVersion rowVersion = absent;
     int tableCalls = 0;
     int settlementTableCalls = 0;
     bool insertMayTakeEffect = false;
     bool sent = false;
     Refusal afterRelease;
-    // What the row is to hold at the end; none when nothing is to be written.
+    // Final content of the row; none if nothing is to be written.
     std::optional<LedgerRecord> settlement;
 };
 
--- a/promise/attemptsettling.cpp
+++ b/promise/attemptsettling.cpp
@@ -3,14 +3,15 @@
 #include <stdexcept>
 #include <utility>
 
-// The part of an attempt that writes the end into the row: the release before "not run" is said, and after the reply
-// the answer or the release. Each write names the version that the row had, so one whose reply was lost does no harm
-// when it is sent again, and another's row is never written over.
+// The part of an attempt that writes the final state of the row: the release before "not run" is reported, and the
+// answer or the release after the reply. Each write is conditional on the last known row version, so retrying after a
+// lost reply is safe and another attempt's row is never overwritten.
 //
-// A row that an operator settled meanwhile is written over in one case: this attempt has an answer of the endpoint and
-// the row has none. It shows an operator who looked in the booking system before a frozen attempt's bytes arrived
-// there, and a repeat that hears "not run" of a call that ran. The answer is proof and the statement was a judgement;
-// the statement stays in the row beside it. A release never overrules: a closed row stays closed.
+// A row that an operator has settled in the meantime is overwritten in one case: this attempt has an answer from the
+// endpoint and the row has none. This happens if the operator checked the booking system before the bytes of a frozen
+// attempt arrived there; without the overwrite, repeats would be told "not run" for a call that ran. The answer is
+// proof, the statement was a judgement; the statement is kept in the row beside the answer. A release never overrides a
+// statement: a closed row stays closed.
 
 namespace fescuesill
 {
@@ -19,7 +20,7 @@
 
 [[noreturn]] void throwUnexpectedEvent()
 {
-    throw std::logic_error("attempt: the event does not answer the action");
+    throw std::logic_error("attempt: unexpected event for the current state");
 }
 
 } // namespace
@@ -42,9 +43,10 @@
     }
     if (const auto *conflict = std::get_if<table::Conflict>(&event)) {
         this->settlement.reset();
-        // Nobody but this attempt and one that got a result from the endpoint writes over an open row.
+        // An open row is overwritten only by its own attempt, by one that got a result from the endpoint, or by an
+        // operator.
         const auto found = conflict->row ? decodeLedgerRecord(conflict->row->value)
-                                         : tl::unexpected(LedgerRecordError{"the row is gone"});
+                                         : tl::unexpected(LedgerRecordError{"the row no longer exists"});
         if (found && found->state == LedgerState::Done) {
             return this->replyDone(*found);
         }
@@ -52,7 +54,7 @@
             return this->replyClosed(*found);
         }
         return this->reply(Refusal{RefusalCode::OutcomeUnknown, RunState::MayHaveRun,
-                                   "the ledger row was changed by another", std::nullopt});
+                                   "the ledger row was changed by another writer", std::nullopt});
     }
     if (!std::holds_alternative<table::Refused>(event) && !std::holds_alternative<table::NoReply>(event)) {
         throwUnexpectedEvent();
@@ -84,9 +86,9 @@
     return attempt_action::Wait{this->options.retryWait};
 }
 
-// "May have run" and not "not run": the earlier attempt was never heard of. Whoever stated this looked in the booking
-// system at one moment, and bytes that wait in a frozen host reach it later. What is said about running is only what
-// the ledger itself can hold to.
+// Reports "may have run" instead of "not run": the outcome of the earlier attempt was never received. The operator
+// checked the booking system at one point in time, and bytes buffered in a frozen host can reach it later. The run
+// state that is reported is limited to what the ledger itself can guarantee.
 AttemptAction Attempt::replyClosed(const LedgerRecord &closed)
 {
     const std::string author = closed.stated ? closed.stated->author : "an operator";
@@ -95,7 +97,7 @@
                                std::nullopt});
 }
 
-// The endpoint is asked once more where it can be: its answer overrules the statement.
+// Queries the endpoint again if it supports that: its answer overrides the statement.
 AttemptAction Attempt::onOtherClosed(const LedgerRecord &closed, RowVersion version)
 {
     if (!this->call.resultQuery) {
@@ -113,11 +115,12 @@
         return this->replyClosed(this->other);
     }
     return this->reply(Refusal{RefusalCode::OutcomeUnknown, RunState::MayHaveRun,
-                               "an earlier try may have run the call and left no answer",
+                               "an earlier attempt may have run the call; its answer is not known",
                                this->options.storeRetryAfter});
 }
 
-// Either an own write whose reply was lost has landed, or the row is another's by now.
+// Either an earlier write of this attempt took effect although its reply was lost, or the row was changed by another
+// writer.
 AttemptAction Attempt::onSettlingConflict(const std::optional<TableRow> &row)
 {
     if (!row) {
--- a/promise/base64url.cpp
+++ b/promise/base64url.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <openssl/evp.h>
 
-// OpenSSL does the work in the common alphabet with padding; here only the alphabet is changed. Decoding encodes again
-// and compares: several texts decode to the same bytes (spare bits of the last character), and a token must have one
-// form only.
+// OpenSSL encodes and decodes the standard alphabet with padding; this file translates the alphabet and the padding.
+// Several texts decode to the same bytes because of the unused bits of the last character, but a token must have
+// exactly one encoding. Decoding therefore encodes the result again and rejects texts that differ.
 
 namespace fescuesill
 {
--- a/promise/cancellation.cpp
+++ b/promise/cancellation.cpp
@@ -2,10 +2,10 @@
 
 #include <algorithm>
 
-// Failure: the DELETE or its reply is lost, and a place of the twenty that a writing engine has is held for a caller
-// that has gone. It shows as an engine that is full and writes for nobody. Cancelling is idempotent, so it is repeated
-// until the engine says that the stream is gone; 404 says so too. The end after giveUpAfter is not a hole: OrphanFinder
-// works from the engine's own list, whoever forgot the stream.
+// If the DELETE or its reply is lost, one of the twenty slots of a decode engine stays occupied for a caller that has
+// disconnected, until the engine is full of streams that nobody reads. Cancellation is idempotent, so it is repeated
+// until the engine confirms that the stream no longer exists; 404 confirms this too. Giving up after giveUpAfter leaks
+// no stream: OrphanFinder works from the engine's own list, independently of which entry lost track of the stream.
 
 namespace fescuesill
 {
--- a/promise/cancellation.h
+++ b/promise/cancellation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The cancelling of one stream at its engine, until the engine confirms that the memory is free.
+// Cancels one stream at its engine, retrying until the engine confirms that its memory is free.
 //
 //     Cancellation cancellation(options, now);
 //     CancelStep step = cancellation.start();
@@ -9,8 +9,8 @@
 //         if (step.kind == CancelStep::Wait) { sleep(step.wait); step = cancellation.onTimerExpired(); }
 //     }
 //
-// DELETE with the own entry=HOST, answered with 200, 404 or 409 (another entry reads it by now), confirms.
-// LeaveToOwner: the owner of the cell removes it by the engine's list.
+// A DELETE with this host's entry=HOST is confirmed by 200, 404 or 409 (another entry reads the stream by now).
+// LeaveToOwner: the owner of the cell removes the stream, using the engine's list of streams.
 
 #include "fescuesill/units.h"
 
@@ -33,9 +33,10 @@
 public:
     struct Options {
         Duration initialWait{50ms};
-        // Doubling stops here: memory is scarce, and an engine back from a restart must hear soon.
+        // Upper bound of the exponential backoff: memory is scarce, and an engine that has restarted must receive the
+        // cancellation soon.
         Duration maxWait{2s};
-        // After this the owner of the cell has long seen the stream as an orphan; entries keep no endless list.
+        // By then the owner of the cell has detected the stream as an orphan. Bounds the list that an entry keeps.
         Duration giveUpAfter{60s};
     };
 
--- a/promise/configchange.cpp
+++ b/promise/configchange.cpp
@@ -1,15 +1,16 @@
 #include "promise/configchange.h"
 
-// Accepted means that config/current holds this change at base + 1, written with compare-and-set on the row as the
-// operator's base stood in it, together with its history row. Two operators who start from one version race for the
-// same row, and one of them gets the conflict.
+// Accepted means that config/current holds this change as version base + 1. The change is written together with its
+// history row in one commit, with compare-and-set on the row that holds the base version. Two operators who start from
+// the same version compete for the same row, and one of them gets a conflict.
 //
-// Failure: the reply to the write is lost after it took effect. It shows as a change that is in force and that its
-// operator is told was not made, or as an operator told that he lost to himself. The change id in the row tells whose
-// it is. If a later change has come on top meanwhile, the history row of our version still has it.
+// The reply to the write can be lost after the write took effect. Without further checks the operator would be told
+// that a change in force was not made, or that it conflicts with itself. The change ID in the row identifies its
+// change. If a later change has been accepted in the meantime, the history row of this version still holds the change
+// ID.
 //
-// After a write without reply "not made" is never said: that write may still land. Written again with the same
-// condition it either lands once or conflicts.
+// After a write without a reply "not made" is never reported, because that write may still take effect. A retry with
+// the same condition either takes effect once or conflicts.
 
 namespace fescuesill
 {
@@ -38,7 +39,7 @@
     if (std::holds_alternative<table::NoReply>(event)) {
         this->mayHaveWritten = true;
     }
-    // Conflict, refusal, silence: the row says where things stand.
+    // After a conflict, a refusal or a missing reply the row shows the current state.
     return this->read(this->readingHistory ? configHistoryKey(this->record.version) : configCurrentKey);
 }
 
--- a/promise/configchange.h
+++ b/promise/configchange.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// An operator's change, from the version it started from to accepted, lost to another operator, or not made.
+// State machine of one configuration change by an operator, from its base version to the outcome: accepted, lost to
+// another operator's change, or not made.
 //
 //     ConfigChange change(record, base, options);         // record.version is base + 1
 //     ConfigChangeAction action = change.start();
@@ -18,9 +19,9 @@
 
 enum class ConfigOutcome {
     Accepted,
-    Lost, // another change came first; it is shown
-    NotMade, // the table could not take it; surely nothing was written
-    Unknown, // the table did not answer; ask again with the same change id
+    Lost, // another change was accepted first; it is returned
+    NotMade, // the table did not accept the write; nothing was written
+    Unknown, // the table did not reply; retry with the same change ID
     Malformed, // the row in the table does not parse
 };
 
@@ -29,13 +30,13 @@
 struct Read {
     std::string key;
 };
-// All or nothing, as one commit.
+// All writes in one atomic commit.
 struct Write {
     std::vector<TableWrite> writes;
 };
 struct Finish {
     ConfigOutcome outcome;
-    // With Lost: what is in force instead.
+    // With Lost: the record that is in force instead.
     std::optional<ConfigRecord> other;
 };
 } // namespace config_action
@@ -48,7 +49,7 @@
 {
 public:
     struct Options {
-        // Table calls altogether; the operator's command is at hand to try again.
+        // Includes reads; the operator can repeat the command.
         int maxTableCalls = 6;
     };
 
--- a/promise/configpush.cpp
+++ b/promise/configpush.cpp
@@ -1,9 +1,9 @@
-// Failure: the table takes a change and fails for everybody a moment later, before a host has read it. It shows as a
-// change that was accepted and is in force nowhere until the table is back. So the command hands what was accepted to a
-// few schedulers itself, and the probes carry the version on from there.
+// If the table accepts a change and fails before any host has read it, the change is in force nowhere until the table
+// recovers. Therefore the operator's command sends the accepted change directly to a few schedulers, and the probes
+// spread the version from there.
 //
-// An operator's proof covers the target and not the body. The target names the body's digest, so that nobody can put
-// another text behind the proof of this one.
+// An operator's proof covers the target but not the body. The target includes the digest of the body, so that the proof
+// cannot be reused with another body.
 
 #include "promise/configpush.h"
 
--- a/promise/configpush.h
+++ b/promise/configpush.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// The request by which the operator's command hands an accepted version to a scheduler's admin port.
+// The request with which the operator's command sends an accepted version to a scheduler's admin port.
 //
 //     question.target = configPushTarget(record);          // "/config?sha256=…"; an operator's proof covers the target
-//     if (isConfigPush(target) && target == configPushTarget(body)) { ... the body is what the proof was made for ... }
+//     if (isConfigPush(target) && target == configPushTarget(body)) { ... the proof covers this body ... }
 
 #include <string>
 #include <string_view>
--- a/promise/configrecord.cpp
+++ b/promise/configrecord.cpp
@@ -2,8 +2,8 @@
 
 #include <nlohmann/json.hpp>
 
-// JSON, so that an operator who reads the row by hand can read it. What does not parse is an error and never version 0:
-// it must not look like a table without a configuration.
+// Records are stored as JSON so that an operator can read a row directly. A row that does not parse is an error and
+// never version 0, because it must not be mistaken for a table without a configuration.
 
 namespace fescuesill
 {
@@ -20,7 +20,7 @@
 tl::expected<ConfigRecord, ConfigRecordError> decodeConfigRecord(const std::string &text)
 {
     if (text.size() > static_cast<std::size_t>(maxConfigBytes.value())) {
-        return tl::unexpected(ConfigRecordError{"larger than a configuration may be"});
+        return tl::unexpected(ConfigRecordError{"exceeds the maximum size of a configuration"});
     }
     const nlohmann::json object = nlohmann::json::parse(text, nullptr, false);
     if (!object.is_object()) {
--- a/promise/configrecord.h
+++ b/promise/configrecord.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One version of the declaration as the table and the peers carry it.
+// One version of the declaration as it is stored in the table and exchanged between peers.
 //
 //     const auto record = decodeConfigRecord(row.value);
 //     if (record && record->version > inForce) { ... }
@@ -17,7 +17,7 @@
     ConfigVersion version;
     std::string author;
     std::string reason;
-    std::string changeId; // unique to one try of one operator at one change
+    std::string changeId; // unique to one change command of one operator
     std::string text;
 };
 
@@ -25,7 +25,7 @@
     std::string text;
 };
 
-// The declaration of the two-year size is some 100 KB; this bounds what a peer can make us hold.
+// The declaration of the fleet's planned two-year size is about 100 KB. Bounds the memory that a peer can claim here.
 constexpr Bytes maxConfigBytes{1024 * 1024};
 
 std::string encode(const ConfigRecord &record);
--- a/promise/configstore.cpp
+++ b/promise/configstore.cpp
@@ -2,26 +2,27 @@
 
 #include <algorithm>
 
-// Never reverts: adopt() is the only place that sets the version in force, and it takes a higher one only.
+// The version in force never decreases: adopt() is the only function that sets it, and it accepts higher versions only.
 //
-// In force everywhere within seconds: a host that hears nothing new may only serve while it would have heard. Contact
-// is a table read, or membership that hears most of the fleet. One peer is not enough: two hosts cut off together would
-// vouch for each other for ever. Most of the fleet is: in a table outage that all see, no version can be accepted, and
-// the fleet goes on. A single host has no peers and lives by the table alone.
+// A change is in force everywhere within seconds: a host may serve only while it would learn of a new version. Contact
+// is a successful table read, or answers to probes from a majority of the fleet. A single peer is not sufficient: two
+// hosts that are cut off together would confirm each other indefinitely. A majority is sufficient: during a table
+// outage that affects all hosts no version can be accepted, and the fleet continues to serve. A single host has no
+// peers and depends on the table alone.
 //
-// A fresh start, and the return from being cut off (also a thaw), learn first: from the table, and from a peer where
-// one answers in startWait, since a table restored from an old copy may be behind; or, without the table, from
-// startPeers that serve themselves. Fewer could all be hosts that have just been cut off and do not know it yet.
+// After a start, and after being cut off or frozen, a host learns the version first. It learns from the table and from
+// one peer if one answers within startWait, since a table restored from an old copy may lag behind. Without the table
+// it learns from startPeers peers that serve; fewer could all be hosts that were just cut off and have not detected it.
 //
-// Not covered: most hosts cut off from the table and from a minority that still reaches it. The majority serves on with
-// the version it has until it hears the table again.
+// Not covered: a majority of the hosts is cut off from the table and from a minority that still reaches it. The
+// majority continues to serve with its version until it reaches the table again.
 
 namespace fescuesill
 {
 
 bool PeerReach::isMajority() const
 {
-    // This host counts as one that answers: with four of nine hosts lost, five are still most.
+    // This host counts as answering: with four of nine hosts lost, the other five are still a majority.
     return this->answered > 0 && 2 * (this->answered + 1) > this->probed + 1;
 }
 
@@ -52,7 +53,7 @@
         this->restartLearning(now);
     }
     this->highestSeen = std::max(this->highestSeen, version);
-    // A peer with a higher version has not been heard out before its record is here.
+    // A peer with a higher version does not count until its record has been received.
     const bool isUpToDate = version <= this->version() && version > ConfigVersion(0);
     if (isUpToDate && this->upToDatePeers.size() < static_cast<std::size_t>(this->options.startPeers)) {
         this->upToDatePeers.insert(peer);
@@ -104,8 +105,8 @@
 
 bool ConfigStore::adopt(const ConfigRecord &record)
 {
-    // Failure: a late reply, a peer that lags or a table restored from an old copy brings a lower version. It shows as
-    // a change that was in force and is undone.
+    // A late reply, a lagging peer or a table restored from an old copy can deliver a lower version, which would undo a
+    // change that is in force.
     if (record.version <= this->version()) {
         return false;
     }
@@ -116,8 +117,8 @@
 
 void ConfigStore::recordContact(Instant now)
 {
-    // Failure: a host frozen or cut off for long hears one probe and serves at once with what it had. It shows as
-    // requests handled by a text that was replaced minutes ago.
+    // A host that was frozen or cut off for a long time must not serve immediately after one probe: it would handle
+    // requests with a configuration that was replaced minutes ago.
     if (this->isCutOff(now)) {
         this->restartLearning(now);
     }
--- a/promise/configstore.h
+++ b/promise/configstore.h
@@ -1,16 +1,16 @@
 #pragma once
 
-// The configuration of one node: what is in force here, and whether the node may serve with it.
+// The configuration of one node: the version in force, and whether the node may serve with it.
 //
 //     ConfigStore store(options, now);
 //     store.onTableRead(record, now);                 // or onTableFailed(now)
-//     store.onPeerVersion(peer, version, now);        // a peer that serves says what it has in force
-//     if (store.wanted()) { ... fetch it: store.onPeerRecord(peer, record, now) ... }
+//     store.onPeerVersion(peer, version, now);        // a serving peer reports its version
+//     if (store.wanted()) { ... fetch: store.onPeerRecord(peer, record, now) ... }
 //     store.onReach(membership.reach(), now);          // every probe period
-//     if (store.service(now) == ConfigService::Serving) { ... takes new work ... }
+//     if (store.service(now) == ConfigService::Serving) { ... accept new work ... }
 //     store.inForce();                                // nullptr until the first version is known
 //
-// Only a higher version is taken, whoever brings it, so nothing reverts.
+// Only higher versions are accepted, whatever their source, so a change is never reverted.
 
 #include "fescuesill/ids.h"
 #include "promise/configrecord.h"
@@ -22,13 +22,13 @@
 {
 
 enum class ConfigService {
-    Learning, // started; does not know the highest version yet
+    Learning, // the highest version is not known yet
     Serving,
-    CutOff, // neither the table nor most peers heard within the freshness limit
+    CutOff, // no contact with the table or a majority of the peers within the freshness limit
 };
 
-// How much of the fleet this node hears, itself left out: of the last few probes of hosts picked at random, how many
-// were answered.
+// How much of the fleet this node reaches, itself excluded: the number of answers to the last few probes of randomly
+// chosen hosts.
 struct PeerReach {
     int answered = 0;
     int probed = 0;
@@ -41,30 +41,31 @@
 {
 public:
     struct Options {
-        // A node that heard neither the table nor most peers for this long takes no new work.
+        // A node without contact to the table or a majority of the peers for this long accepts no new work.
         Duration freshness{10s};
-        // Peers that a starting node must hear in an outage of the table; fewer when the fleet is smaller.
+        // Number of peers that a starting node must learn from during an outage of the table; fewer in a smaller fleet.
         int startPeers = 3;
-        // How long a starting node that read the table waits for the first peer, which may have a higher version.
+        // How long a starting node that has read the table waits for a first peer, which may have a higher version.
         Duration startWait{2s};
     };
 
     ConfigStore(Options options, Instant now);
 
-    // True when the version in force went up. No record: the table has none yet.
+    // Returns whether the version in force has increased. No record: the table has none yet.
     bool onTableRead(const std::optional<ConfigRecord> &record, Instant now);
     void onTableFailed(Instant now);
-    // Only from peers that are Serving: one that learns or is cut off knows no more than we do.
+    // Only for peers that are Serving: one that is learning or cut off may not know the highest version either.
     void onPeerVersion(const HostId &peer, ConfigVersion version, Instant now);
     bool onPeerRecord(const HostId &peer, const ConfigRecord &record, Instant now);
-    // By the operator's command, which has seen the table accept it. No contact: it may be the only thing heard.
+    // Sent by the operator's command after the table accepted the record. Does not count as contact, because this node
+    // may be cut off from everything else.
     bool onOperatorPush(const ConfigRecord &record);
     void onReach(PeerReach reach, Instant now);
 
     ConfigService service(Instant now) const;
     const ConfigRecord *inForce() const;
     ConfigVersion version() const;
-    // A version higher than the one in force that somebody has; none when there is none.
+    // The highest version that a peer has reported, if it is higher than the one in force.
     std::optional<ConfigVersion> wanted() const;
 
 private:
--- a/promise/endpointregistry.cpp
+++ b/promise/endpointregistry.cpp
@@ -1,7 +1,7 @@
-// A removed row means "takes no new work" at once, with one exception: rows lapse by themselves while the table is
-// away, and treating those as gone would empty the fleet at the very moment the table returns. So what is found missing
-// from the moment the table was lost until a grace after its return is kept until that grace ends; by then a live
-// endpoint has written its row again, and what is still missing is gone.
+// An endpoint whose row is removed takes no new work from then on, with one exception: rows expire while the table is
+// unavailable, and treating those as removed would empty the fleet as soon as the table recovers. Therefore endpoints
+// found missing between the loss of the table and the end of a grace period after its recovery are kept until that
+// grace period ends. By then every live endpoint has written its row again, and those still missing are removed.
 
 #include "promise/endpointregistry.h"
 
@@ -17,7 +17,8 @@
 
 void EndpointRegistry::onMissing(std::map<EndpointId, Entry>::iterator entry, Instant now)
 {
-    // An endpoint that said it leaves and is gone from the table has left; an outage does not explain it.
+    // An endpoint that announced that it is leaving and is missing from the table has left; the outage is not the
+    // cause.
     if (!this->isWithinGrace(now) || entry->second.record.isLeaving) {
         this->entries.erase(entry);
         return;
--- a/promise/endpointregistry.h
+++ b/promise/endpointregistry.h
@@ -1,15 +1,15 @@
 #pragma once
 
-// Which endpoints and engines exist, by what they wrote of themselves into the platform's table.
+// The endpoints and engines that exist, according to the rows that they write into the platform's table.
 //
 //     EndpointRegistry registry(EndpointRegistry::Options{});
-//     registry.onListed(records, now);                  // the whole list, at the start and after a gap
+//     registry.onListed(records, now);                  // the whole list, at start-up and after a gap
 //     registry.onChanged(record, now);                  // one row
 //     registry.onRemoved(EndpointId("e7"), now);
-//     registry.onStoreLost(now);                        // the table cannot be read
+//     registry.onStoreLost(now);                        // the table is unavailable
 //     registry.onStoreRecovered(now);
 //     for (const EndpointRecord *record : registry.usable(service)) { ... }
-//     registry.expire(now);                             // now and then
+//     registry.expire(now);                             // periodically
 
 #include "fescuesill/ids.h"
 #include "fescuesill/units.h"
@@ -27,7 +27,7 @@
     Decode,
 };
 
-// One start of an endpoint. An endpoint that starts again is another incarnation and holds nothing of before.
+// One incarnation of an endpoint. A restarted endpoint is a new incarnation and keeps no state of the previous one.
 struct EndpointRecord {
     EndpointId id;
     std::int64_t incarnation = 0;
@@ -35,7 +35,7 @@
     std::string address; // IP:PORT
     DataCentreId dataCentre;
     EndpointPart part = EndpointPart::Plain;
-    int slots = 1; // requests at once
+    int slots = 1; // concurrent requests
     bool isLeaving = false; // takes no new work
 
     bool isSameStart(const EndpointRecord &other) const
@@ -48,8 +48,8 @@
 {
 public:
     struct Options {
-        // A row that vanished while the table could not be read is kept this long after the table came back: an
-        // outage makes rows of live endpoints lapse, and they write them again within two seconds.
+        // How long after the table's recovery a row that disappeared during the outage is kept: rows of live endpoints
+        // expire during an outage, and the endpoints write them again within two seconds.
         Duration returnGrace{2s};
     };
 
@@ -63,14 +63,14 @@
     void onRemoved(const EndpointId &id, Instant now);
     void onStoreLost(Instant now);
     void onStoreRecovered(Instant now);
-    // Forgets what stayed missing past its grace.
+    // Removes endpoints that are still missing after their grace period.
     void expire(Instant now);
 
-    // Not leaving, in order of their ids.
+    // Endpoints of the service that are not leaving, in order of their IDs.
     std::vector<const EndpointRecord *> usable(const ServiceId &service) const;
-    // Null for an endpoint that is not known.
+    // Null if the endpoint is unknown.
     const EndpointRecord *find(const EndpointId &id) const;
-    // Whether new work may still be sent to this start of an endpoint.
+    // Whether new work may still be sent to this incarnation of an endpoint.
     bool mayUse(const EndpointRecord &start) const;
     std::size_t size() const
     {
@@ -80,7 +80,7 @@
 private:
     struct Entry {
         EndpointRecord record;
-        std::optional<Instant> missingUntil; // not in the table; dropped then
+        std::optional<Instant> missingUntil; // missing from the table; removed at this time
     };
 
     bool isWithinGrace(Instant now) const;
--- a/promise/hexadecimal.h
+++ b/promise/hexadecimal.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Hexadecimal digits, of either case.
+// Hexadecimal digits in upper or lower case.
 //
-//     hexValue('f');               // 15; -1 for what is no digit
-//     fromHexadecimal("0fA0");     // two bytes; none for half a byte or another character
+//     hexValue('f');               // 15; -1 if the character is not a digit
+//     fromHexadecimal("0fA0");     // two bytes; none for an odd number of digits or any other character
 
 #include <optional>
 #include <string>
--- a/promise/ledgerrecord.cpp
+++ b/promise/ledgerrecord.cpp
@@ -5,9 +5,9 @@
 #include <nlohmann/json.hpp>
 #include <openssl/evp.h>
 
-// The body of an answer is any bytes, and JSON holds only UTF-8, so it is kept as base64. Times are microseconds since
-// the Unix epoch. A row that does not parse is an error and never "no row": taking it for an absent one would run a
-// call again.
+// The body of an answer is arbitrary bytes and JSON holds only UTF-8, so the body is stored as base64. Times are
+// microseconds since the Unix epoch. A row that does not parse is an error and never treated as absent, because that
+// would run a call a second time.
 
 namespace fescuesill
 {
@@ -58,7 +58,7 @@
     return "";
 }
 
-// Reads members and notes the first that is missing or of another type.
+// Reads members of an object and records the first one that is missing or has the wrong type.
 class MemberReader
 {
 public:
@@ -133,9 +133,9 @@
     statement.reason = reader.text("reason");
     statement.changeId = reader.text("change_id");
     statement.at = toInstant(reader.number("at_us"));
-    const std::string said = reader.text("said");
-    statement.ran = said == "ran";
-    if (!reader.firstError().empty() || (!statement.ran && said != "not_run")) {
+    const std::string outcome = reader.text("said");
+    statement.ran = outcome == "ran";
+    if (!reader.firstError().empty() || (!statement.ran && outcome != "not_run")) {
         outer.note("stated", "a statement");
         return std::nullopt;
     }
@@ -251,11 +251,12 @@
 
 bool mayDelete(const LedgerRecord &record, Instant now, Duration clockMargin)
 {
-    // Failure: a row in doubt expires, its caller comes back days later with the same key, and the call runs a second
-    // time. Whoever does not know whether it ran must not forget that it may have.
+    // A row in doubt must not expire: its caller could retry days later with the same key, and the call would run a
+    // second time.
     //
-    // The same goes for a row that an operator settled: its attempt was never heard of, and a frozen one may yet send.
-    // Such rows are as many as operators have settled by hand, so they are kept for good.
+    // Rows settled by an operator must not expire either: the outcome of the attempt was never received, and a frozen
+    // attempt may still send. Only as many of these rows exist as operators have settled by hand, so they are kept
+    // permanently.
     const bool isSettledByAttempt = record.state == LedgerState::Done || record.state == LedgerState::Released;
     return isSettledByAttempt && !record.stated && now > record.expiry + clockMargin;
 }
--- a/promise/ledgerrecord.h
+++ b/promise/ledgerrecord.h
@@ -20,20 +20,20 @@
 enum class LedgerState {
     Open, // the attempt may send, or has sent
     Done, // the answer is known
-    Released, // the attempt never sent and never will; another may take the row over
-    Closed, // an operator states that the call was not run; no attempt may take the row over
+    Released, // the attempt has not sent and will not send; another attempt may take over the row
+    Closed, // an operator stated that the call was not run; no attempt may take over the row
 };
 
-// An operator's word on a row that was in doubt.
+// An operator's statement about the outcome of a row in doubt.
 struct LedgerStatement {
     std::string author;
     std::string reason;
-    std::string changeId; // unique to the change, by which a lost reply is resolved
+    std::string changeId; // unique to the change; resolves a lost reply
     Instant at; // shared time
     bool ran = false;
 };
 
-// What an endpoint said.
+// The answer of an endpoint to a call.
 struct EndpointAnswer {
     int status = 0;
     std::string contentType;
@@ -50,13 +50,13 @@
     HostId entry;
     std::string bodyDigest;
     LedgerState state = LedgerState::Open;
-    // Shared time after which the attempt has either its answer or an unknown outcome.
+    // Shared time after which the attempt either has its answer or its outcome is unknown.
     Instant deadline;
     // Shared time after which a sweeper may delete the row; see mayDelete.
     Instant expiry;
-    // With Done. None where the answer was larger than the ledger keeps.
+    // With Done. None if the answer is not known or was too large to be stored.
     std::optional<EndpointAnswer> answer;
-    // Stays in the row when an answer turns up later and overrules it.
+    // Kept in the row even if an answer arrives later and overrides it.
     std::optional<LedgerStatement> stated;
 };
 
@@ -67,10 +67,10 @@
 std::string encode(const LedgerRecord &record);
 tl::expected<LedgerRecord, LedgerRecordError> decodeLedgerRecord(const std::string &text);
 
-// The row of one call. None of the parts may hold a slash but the key, which comes last.
+// The key of the row of one call. Only the idempotency key, which is the last part, may contain a slash.
 constexpr const char *ledgerPrefix = "call/";
 std::string ledgerKey(const ServiceId &service, const WorkspaceId &workspace, const std::string &idempotencyKey);
-// The digest that tells two bodies under one key apart.
+// Distinguishes requests with different methods, paths or bodies under one key.
 std::string bodyDigest(const std::string &method, const std::string &path, const std::string &body);
 
 struct LedgerKey {
@@ -78,13 +78,13 @@
     WorkspaceId workspace;
     std::string idempotencyKey;
 };
-// None where the row's name is not one of ledgerKey().
+// None if the key does not have the form of ledgerKey().
 std::optional<LedgerKey> parseLedgerKey(const std::string &key);
 
-// Whether the outcome of the call is unknown and no longer about to be known.
+// Whether the outcome of the call is unknown and its attempt's deadline has passed.
 bool isInDoubt(const LedgerRecord &record, Instant now, Duration clockMargin);
 
-// Whether the row may be deleted now, or run anew. The margin is the most that two hosts' clocks differ.
+// Whether the row may be deleted, or its call run anew. The margin is the maximum difference between two hosts' clocks.
 bool mayDelete(const LedgerRecord &record, Instant now, Duration clockMargin);
 
 } // namespace fescuesill
--- a/promise/ledgersettlement.cpp
+++ b/promise/ledgersettlement.cpp
@@ -1,26 +1,27 @@
 #include "promise/ledgersettlement.h"
 
-// One compare-and-set on the open row as it was read. Only an open row is settled, and only past its attempt's
-// deadline.
+// Settles a row with one compare-and-set on the version that was read. Only an open row is settled, and only after the
+// deadline of its attempt.
 //
-// What a statement can do about the attempt that wrote the row. It may be dead. It may be frozen before its last look
-// at the clock: thawed, it releases, meets the settled row and stops. It may be frozen after that look, or its bytes
-// may wait in its kernel or in the endpoint's: then the call runs after the statement, whatever time has passed. No
-// wait, no mark in the row and no look at the entry's process excludes the last one. So:
+// State of the attempt that wrote the row. It may have failed. It may be frozen before its last check of the clock:
+// once resumed, it releases, gets a conflict with the settled row and stops. It may be frozen after that check, or its
+// bytes may be buffered in its kernel or the endpoint's: then the call runs after the statement, however much time has
+// passed. No waiting period, marker in the row or check of the entry's process excludes the last case. Therefore:
 //
-//   - "ran" makes the row done. Nobody else sends under the key, as before.
-//   - "not run" makes the row closed, not released: a released row would be run by the next attempt, and the frozen
-//     first one would run it again. A closed row is never run, and never expires. A repeat is told what was stated and
-//     by whom, and "may have run" as before, since the ledger cannot hold to more.
-//   - the attempt's own answer, should it come, overrules both (attemptsettling.cpp).
+//   - "ran" makes the row done. As before, no other attempt sends under the key.
+//   - "not run" makes the row closed, not released: the next attempt would run a released row, and the frozen first
+//     attempt would run it again. A closed row is never run and never expires. A repeat receives the statement and its
+//     author, and still "may have run", since the ledger cannot guarantee more.
+//   - an answer that the attempt itself receives later overrides both (attemptsettling.cpp).
 //
-// Rejected: reopening the key after a wait. A host that is paused as a whole wakes after any time.
-// Rejected: asking the entry named in the row. That it answers shows that it is not frozen now; it does not show where
-// bytes are that it sent, and most doubts come from an entry that is gone.
+// Rejected: reopening the key after a wait. A host that is paused as a whole can resume after any length of time.
+// Rejected: querying the entry named in the row. An answer shows that the entry is not frozen now, but not where the
+// bytes are that it sent; and most rows in doubt come from an entry that no longer exists.
 //
-// Failure: the reply to the write is lost after it took effect. It shows as an operator who is told that another
-// settled the row, or that nothing was written. The change id in the row tells whose it is. Written again with the same
-// version it lands once or conflicts. After a write without reply "not made" is never said.
+// The reply to the write can be lost after the write took effect. Without further checks the operator would be told
+// that another operator settled the row, or that nothing was written. The change ID in the row identifies the
+// statement. A retry with the same version takes effect once or conflicts. After a write without a reply "not made" is
+// never reported.
 
 namespace fescuesill
 {
@@ -50,7 +51,7 @@
     if (std::holds_alternative<table::NoReply>(event)) {
         this->mayHaveWritten = true;
     }
-    // Conflict, refusal, silence: the row says where things stand.
+    // After a conflict, a refusal or a missing reply the row shows the current state.
     return this->read();
 }
 
@@ -84,8 +85,8 @@
 
 SettlementAction LedgerSettlement::onOpen(const LedgerRecord &found, RowVersion version, Instant now)
 {
-    const Duration quiet = this->statement.ran ? Duration(0) : this->options.notRunDelay;
-    const Instant earliest = found.deadline + this->options.clockMargin + quiet;
+    const Duration delay = this->statement.ran ? Duration(0) : this->options.notRunDelay;
+    const Instant earliest = found.deadline + this->options.clockMargin + delay;
     if (now <= earliest) {
         return settlement_action::Finish{SettlementOutcome::TooEarly, found, earliest - now};
     }
--- a/promise/ledgersettlement.h
+++ b/promise/ledgersettlement.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// An operator's statement about a ledger row in doubt, from reading the row to settled, refused or unknown.
+// State machine that applies an operator's statement to a ledger row in doubt, from reading the row to the outcome.
 //
 //     LedgerSettlement settlement(ledgerKey(service, workspace, key), statement, answer, options);
 //     SettlementAction action = settlement.start();
@@ -22,10 +22,10 @@
     Settled,
     NoRow,
     Malformed, // the row does not parse
-    AlreadySettled, // by its own attempt, or by another operator; it is shown
-    TooEarly, // the attempt may still be under way
-    NotMade, // the table could not take it; surely nothing was written
-    Unknown, // the table did not answer; ask again with the same change id
+    AlreadySettled, // by its own attempt, or by another operator; the row is returned
+    TooEarly, // the attempt may still be in progress
+    NotMade, // the table did not accept the write; nothing was written
+    Unknown, // the table did not reply; retry with the same change ID
 };
 
 namespace settlement_action
@@ -40,9 +40,9 @@
 };
 struct Finish {
     SettlementOutcome outcome;
-    // The row as it was found; with Settled as it is now.
+    // The row as it was read; with Settled, the row as written.
     std::optional<LedgerRecord> record;
-    // With TooEarly.
+    // With TooEarly: the time until the statement is accepted.
     Duration wait{0};
 };
 } // namespace settlement_action
@@ -55,16 +55,17 @@
 {
 public:
     struct Options {
-        // Past the attempt's deadline, by which two clocks may differ.
+        // Maximum difference between two clocks, added to the attempt's deadline.
         Duration clockMargin{500ms};
-        // Further past it for "not run". A kernel of usual settings gives up sending for a connection without replies
-        // within some 15 minutes. Nothing rests on it; it makes a wrong statement unlikely.
+        // Additional delay for "not run". With usual settings a kernel stops retransmitting on a connection without
+        // replies within about 15 minutes. Correctness does not depend on the delay; it makes a wrong statement
+        // unlikely.
         Duration notRunDelay{30min};
-        // Table calls altogether; the operator is at hand to try again.
+        // Includes reads; the operator can repeat the command.
         int maxTableCalls = 6;
     };
 
-    // The answer goes with a statement that the call ran.
+    // The answer is used only with a statement that the call ran.
     LedgerSettlement(std::string key, LedgerStatement statement, std::optional<EndpointAnswer> answer, Options options);
 
     SettlementAction start();
--- a/promise/ledgersweep.cpp
+++ b/promise/ledgersweep.cpp
@@ -5,34 +5,35 @@
 #include <algorithm>
 #include <xxhash.h>
 
-// Parts. The table offers rows in the order of their keys, from a key on. The keys begin with the service, so a part is
-// the rows of one service, and the services are found in the table itself: one row after "call/", one after the end of
-// its service, and so on. Rows of a service that was taken out of the declaration are thereby swept too. A part falls
-// to a host by the rendezvous hash of its service over the live hosts.
-//   Rejected: parts by workspace. Each host would look for 1,300 of them; at 340 hosts that is some 700 reads a second.
-//   Rejected: every host reads all rows and keeps those whose hash is its own: 340 times the reads.
-//   Rejected: an index of rows by their time. A second row for each booking costs the writes that are scarce.
+// Parts. The table lists rows in key order, starting after a given key. Keys begin with the service, so a part consists
+// of the rows of one service. The services are found in the table itself, by reading one row after "call/", one after
+// the end of its service, and so on. This also covers rows of services that were removed from the declaration. A part
+// is assigned to a host by the rendezvous hash of its service over the live hosts.
+//   Rejected: parts by workspace. Each host would search for 1,300 parts; with 340 hosts about 700 reads a second.
+//   Rejected: every host reads all rows and selects its own by their hash. This takes 340 times the reads.
+//   Rejected: an index of rows by expiry. A second row for each booking costs writes, which are scarce.
 //
-// Rate. The fleet has one share whatever its size. A host that sweeps k of n parts takes k/n of it. One full part
-// beside empty ones is therefore swept at 1/n of the share.
+// Rate. The fleet has one fixed rate whatever its size. A host that sweeps k of n parts uses k/n of it. One full part
+// beside empty ones is therefore swept at 1/n of the rate.
 //
-// Why nothing is lost. A row is deleted only at the version at which it was read and found settled and past its time.
-// Whoever changed it since, raised the version: the commit conflicts and deletes nothing. So two sweepers of one part,
-// a host with an old view, and one that was frozen between read and delete do no harm; a delete whose reply was lost is
-// not resolved at all: the next pass sees what is left. This leans on the table never giving one key the same version
-// twice, also over a delete (docs/ARCHITECTURE.md).
+// Safety. A row is deleted only at the version at which it was read and found settled and expired. Any later change
+// raises the version, so the commit conflicts and deletes nothing. It is therefore safe for two hosts to sweep the same
+// part, for a host to have an outdated view of the fleet, or to be frozen between read and delete. A delete whose reply
+// was lost is not resolved; the next pass sees the remaining rows. This requires that the table never assigns the same
+// version to one key twice, even across a delete (docs/ARCHITECTURE.md).
 //
-// Clocks. The time of a row is written by its entry's clock and compared with the sweeper's; clockMargin covers both.
+// Clocks. The expiry of a row is set by its entry's clock and compared with the sweeper's clock; clockMargin covers the
+// difference.
 //
-// Failure: one page is larger than the client takes (answers of 64 KB each). It shows as a sweep that never gets past a
-// key. So a read that failed is asked again with half the rows, down to one.
+// A page may be larger than the client accepts (answers of 64 KB each), which would stop the sweep at that key. So a
+// failed read is retried with half the rows, down to one.
 
 namespace fescuesill
 {
 namespace
 {
 
-// The character after '/', so that "call/SERVICE" + endOfService follows every row of the service.
+// The character after '/', so that "call/SERVICE" + endOfService sorts after every row of the service.
 constexpr char endOfService = '0';
 
 std::string serviceOf(const std::string &key)
@@ -139,7 +140,7 @@
     return sweep_action::Wait{duration};
 }
 
-// The next page of the currentPart part, or the first of the next one that is still this host's.
+// Reads the next page of the current part, or the first page of the next part that is still assigned to this host.
 SweepAction LedgerSweep::nextRead()
 {
     while (this->currentPart < this->services.size()
@@ -207,8 +208,8 @@
     return this->wait(State::BeforeRead, this->pace(this->options.readsPerSecond));
 }
 
-// Failure: the part has gone to another host while this one waited. It does no harm, but two hosts would examine the
-// share of one.
+// The part may have been reassigned to another host during the wait. Deleting would still be safe, but two hosts would
+// use the rate of one.
 SweepAction LedgerSweep::sendDelete()
 {
     if (!this->isOwnPart(this->services[this->currentPart])) {
--- a/promise/ledgersweep.h
+++ b/promise/ledgersweep.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// Deletes ledger rows whose time is over, in the part of the key space that falls to this host.
+// Deletes expired ledger rows in the parts of the key space that are assigned to this host.
 //
 //     LedgerSweep sweep(self, options);
 //     SweepAction action = sweep.start();
 //     while (true) {
-//         sweep.setHosts(liveHosts);                       // empty: sweep nothing now
+//         sweep.setHosts(liveHosts);                       // empty: sweeping pauses
 //         action = sweep.on(perform(action), sharedNow());
 //     }
 
@@ -30,7 +30,7 @@
 {
 struct TimerExpired {
 };
-// In the order of their keys; fewer than asked for: there are no more.
+// In key order. Fewer rows than the limit mean that there are no more.
 struct Rows {
     std::vector<SweepRow> rows;
 };
@@ -38,11 +38,11 @@
 };
 struct Deleted {
 };
-// The row with this index was not at its version; nothing was deleted.
+// The row with this index was not at the expected version; nothing was deleted.
 struct Conflict {
     std::size_t index = 0;
 };
-// Refused, or no reply: it may have taken effect or not.
+// Refused, or no reply: the delete may or may not have taken effect.
 struct DeleteFailed {
 };
 } // namespace sweep_event
@@ -61,7 +61,7 @@
     std::string key;
     RowVersion version;
 };
-// All or nothing, each row only at its version. Feed back Deleted, Conflict or DeleteFailed.
+// Atomic, each row only at its version. Feed back Deleted, Conflict or DeleteFailed.
 struct Delete {
     std::vector<Deletable> rows;
 };
@@ -71,44 +71,45 @@
 };
 } // namespace sweep_action
 
-// All reads are of rows whose keys begin with ledgerPrefix.
+// All reads are restricted to keys that begin with ledgerPrefix.
 using SweepAction = std::variant<sweep_action::Read, sweep_action::Delete, sweep_action::Wait>;
 
 class LedgerSweep
 {
 public:
     struct Options {
-        // Of the whole fleet, whatever its size: half a percent of the table's two thousand reads a second and just
-        // over one percent of several hundred commits. Two owners for some seconds double a part's share.
+        // For the whole fleet, whatever its size: half a percent of the table's two thousand reads a second and just
+        // over one percent of its several hundred commits a second. While two hosts consider a part their own, for some
+        // seconds, it is swept at twice its rate.
         double readsPerSecond = 10;
         double deletesPerSecond = 5;
-        // Rows of a page: the largest answers kept make 5 MB of it.
+        // Rows of a page; with the largest stored answers a page has 5 MB.
         std::size_t page = 50;
-        // Rows of one commit; the table takes no larger ones.
+        // The maximum number of rows that the table accepts in one commit.
         std::size_t rowsPerDelete = 100;
-        // Conflicts after which a batch is left to the next pass: another sweeper is at work in the part.
+        // Conflicts after which a batch is left to the next pass, because another host is sweeping the part.
         int conflictsPerBatch = 3;
-        // By how much a clock may be ahead. Rows are kept this much longer, which costs 0.6% of seven days.
+        // How far a clock may be ahead. Rows are kept this much longer, which is 0.6% of seven days.
         Duration clockMargin{1h};
-        // Between two passes. Each host looks for the services in the table once a pass, one read for each.
+        // Between two passes. In each pass every host finds the services in the table, with one read for each.
         Duration passPause{10min};
         Duration findPause{1s};
-        // After a read or delete that failed: a table in trouble is left to the callers.
+        // After a failed read or delete, to leave an overloaded table to the callers.
         Duration failurePause{30s};
     };
 
     struct Counts {
         std::uint64_t reads = 0;
         std::uint64_t rows = 0;
-        std::uint64_t deleted = 0; // surely
+        std::uint64_t deleted = 0; // confirmed by the table
         std::uint64_t conflicts = 0;
-        std::uint64_t malformed = 0; // kept, and named in no other way: fescuesillctl lists them
+        std::uint64_t malformed = 0; // kept and only counted here; fescuesillctl lists them
         std::uint64_t passes = 0;
     };
 
     LedgerSweep(HostId self, Options options);
 
-    // Hosts of all data centres that are alive and not leaving.
+    // The hosts of all data centres that are alive and not leaving.
     void setHosts(std::vector<HostId> hosts);
     SweepAction start();
     SweepAction on(const SweepEvent &event, Instant now);
@@ -117,7 +118,7 @@
 
 private:
     enum class State {
-        BetweenPasses, // between passes
+        BetweenPasses,
         FindingServices, // the services that have rows
         BeforeRead,
         Reading,
@@ -145,12 +146,12 @@
     Options options;
     std::vector<HostId> hosts;
     State state = State::BetweenPasses;
-    std::vector<std::string> services; // bounded by the declaration's services
+    std::vector<std::string> services; // bounded by the services of the declaration
     std::size_t currentPart = 0;
     std::string cursor;
     bool isPartComplete = false;
     std::size_t limit;
-    std::vector<sweep_action::Deletable> deletable; // at most rowsPerDelete and a page
+    std::vector<sweep_action::Deletable> deletable; // at most rowsPerDelete plus a page
     int batchConflicts = 0;
     Counts totals;
 };
--- a/promise/operatorproof.cpp
+++ b/promise/operatorproof.cpp
@@ -3,12 +3,12 @@
 #include "promise/base64url.h"
 #include "promise/bytefields.h"
 
-// PROOF = "Bearer " base64url(format, key id, time, code), where the code is over format, key id, time and the command.
+// PROOF = "Bearer " base64url(format, key ID, time, MAC), where the MAC covers format, key ID, time and the command.
 //
-// Failure: whoever reaches an admin port drains one host after the other. It shows as a fleet that stops as planned,
-// though nobody planned it. Sending the key itself as the token was rejected: admin ports speak plain HTTP, and who
-// reads one request could then stop every host. A proof read on the way repeats the same command to the same process
-// within a minute; a planned stop that is asked for twice is one.
+// Without a proof, anyone who reaches an admin port could drain one host after another. Sending the key itself as the
+// token was rejected: admin ports use plain HTTP, and an eavesdropper on one request could then stop every host. An
+// eavesdropper can replay a proof only for the same command to the same process within a minute, and requesting a
+// drain twice has the same effect as requesting it once.
 
 namespace fescuesill
 {
@@ -19,7 +19,7 @@
 constexpr std::string_view scheme = "Bearer ";
 constexpr std::string_view purpose = "fescuesill operator proof";
 constexpr std::size_t headBytes = 1 + 4 + 8;
-// A longer text can't be ours; bounds the work for a forged one.
+// No valid header is longer. Bounds the work for a forged one.
 constexpr std::size_t maxHeaderBytes = 128;
 
 std::string textOf(const OperatorCommand &command)
--- a/promise/operatorproof.h
+++ b/promise/operatorproof.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// Shows a process that a command comes from an operator who holds the operators' key.
+// Proves to a process that a command was issued by a holder of the operators' key.
 //
 //     const OperatorCommand command{HostId("athens-a"), "entry", "POST", "/drain"};
-//     const std::string header = operatorProof(keys, command, sharedNow());        // of Authorization: "Bearer ..."
+//     const std::string header = operatorProof(keys, command, sharedNow());        // Authorization: "Bearer ..."
 //     if (const auto fault = checkOperatorProof(keys, command, header, sharedNow())) { faultName(*fault); }
 //
-// A proof is good for one command at one process for a minute. The key itself never leaves the operator's machine.
+// A proof is valid for one command at one process for one minute. The key itself never leaves the operator's machine.
 
 #include "fescuesill/ids.h"
 #include "fescuesill/units.h"
@@ -28,13 +28,13 @@
     Missing,
     Malformed,
     UnknownKey,
-    Forged, // or made for another command, host or process
-    Stale, // or the clocks differ by too much
+    Forged, // or issued for another command, host or process
+    Stale, // expired, or the clocks differ by too much
 };
 
 const char *faultName(OperatorFault fault);
 
-// An operator's machine keeps time less strictly than a host; a command that is repeated in this time does no harm.
+// The clock of an operator's machine is less accurate than a host's. Replaying a command within the window is harmless.
 constexpr Duration operatorProofWindow = 60s;
 
 std::string operatorProof(const KeyRing &operators, const OperatorCommand &command, Instant now);
--- a/promise/resumetoken.cpp
+++ b/promise/resumetoken.cpp
@@ -12,16 +12,16 @@
 
 // TOKEN = base64url(payload, mac) "." OFFSET
 //
-// payload: a format byte, the expiry, then engine, stream, request and workspace, each behind its length. The MAC is
-// the first 16 bytes of HMAC-SHA256 over it; half of the output is what RFC 2104 gives as the least, and 2^-128 is no
-// chance.
+// payload: a format byte, the expiry, then engine, stream, request and workspace, each prefixed with its length. The
+// MAC is the first 16 bytes of HMAC-SHA256 over the payload; RFC 2104 recommends at least half of the output, and the
+// chance of guessing it is a negligible 2^-128.
 //
-// The offset is not authenticated. The MAC stands for "this workspace may read this stream"; from which fragment on is
-// the caller's own wish, and with any offset it gets its own text only. Leaving it out of the MAC means one HMAC a
-// stream instead of one a fragment: at 1.1 million fragments a second over the fleet that is some microsecond each (see
-// resumetoken_benchmark). An offset past the end is refused by the reader.
+// The offset is not authenticated. The MAC grants a workspace access to a stream; the caller is free to choose the
+// fragment to start from, since any offset yields only its own text. Excluding the offset takes one HMAC per stream
+// instead of one per fragment, which saves about one microsecond for each of 1.1 million fragments a second across the
+// fleet (see resumetoken_benchmark). An offset past the end is rejected when the stream is read.
 //
-// The MAC is compared in constant time, before anything in the payload is believed.
+// The MAC is compared in constant time, and the payload is not parsed before it has been verified.
 
 namespace fescuesill
 {
@@ -73,7 +73,7 @@
 tl::expected<ResumeTokens, ResumeKeyError> ResumeTokens::create(std::vector<std::string> keys)
 {
     if (keys.empty() || keys.size() > maxKeys) {
-        return tl::unexpected(ResumeKeyError{"one or two keys are needed"});
+        return tl::unexpected(ResumeKeyError{"one or two keys are required"});
     }
     for (const std::string &key : keys) {
         if (key.size() < minKeyBytes) {
--- a/promise/resumetoken.h
+++ b/promise/resumetoken.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Tokens with which a caller that lost its entry reads on at any other one.
+// Tokens with which a caller that lost its connection to an entry resumes the stream at any other entry.
 //
 //     const auto tokens = ResumeTokens::create({"new key, 32 bytes or more...", "old key ..."});
 //     const std::string prefix = tokens->mint(grant);                  // once per stream
@@ -8,7 +8,7 @@
 //     const auto point = tokens->open(lastEventId, workspace, sharedNow());
 //     if (!point) { resumeRefusal(point.error()) ... }
 //
-// The first key signs; every key is accepted, so that a key is rotated without cutting a stream.
+// The first key signs and all keys are accepted, so that keys can be rotated without interrupting streams.
 
 #include "fescuesill/errors.h"
 #include "fescuesill/ids.h"
@@ -22,7 +22,7 @@
 namespace fescuesill
 {
 
-// What a token lets its bearer read.
+// The access that a token grants to its bearer.
 struct ResumeGrant {
     EngineId engine;
     StreamId stream;
@@ -33,7 +33,7 @@
 
 struct ResumePoint {
     ResumeGrant grant;
-    Offset next; // the first fragment that the caller has not got
+    Offset next; // the first fragment that the caller has not received
 };
 
 enum class ResumeTokenError {
@@ -50,17 +50,17 @@
 class ResumeTokens
 {
 public:
-    // HMAC-SHA256 keys shorter than its output weaken it.
+    // Keys shorter than the output of HMAC-SHA256 weaken it.
     static constexpr std::size_t minKeyBytes = 32;
-    // One that signs and one that is being rotated out.
+    // One key that signs and one that is being rotated out.
     static constexpr std::size_t maxKeys = 2;
-    // A longer token cannot be ours; bounds the work for a forged one.
+    // No valid token is longer. Bounds the work for a forged one.
     static constexpr std::size_t maxTokenBytes = 1024;
 
     static tl::expected<ResumeTokens, ResumeKeyError> create(std::vector<std::string> keys);
 
     std::string mint(const ResumeGrant &grant) const;
-    // The id of the fragment at this offset: a caller that presents it has that fragment.
+    // The ID of the fragment at this offset. A caller that presents it has received that fragment.
     static std::string eventId(std::string_view prefix, Offset offset);
     tl::expected<ResumePoint, ResumeTokenError> open(std::string_view token, const WorkspaceId &workspace,
                                                      Instant now) const;
@@ -71,7 +71,8 @@
     std::vector<std::string> keys;
 };
 
-// What the caller is told. The text is the same for a forged and another caller's token: it tells a prober nothing.
+// The refusal that is returned to the caller. A forged token and another workspace's token produce the same text, so
+// that the refusal discloses nothing about existing streams.
 Refusal resumeRefusal(ResumeTokenError error);
 
 } // namespace fescuesill
--- a/promise/tablereading.cpp
+++ b/promise/tablereading.cpp
@@ -5,20 +5,22 @@
 #include <utility>
 #include <xxhash.h>
 
-// At 340 hosts a read each second by every host is a sixth of all that the table gives to everyone. A few hosts of each
-// data centre read; the version that they find is membership's urgent fact, and every probe also says how long ago the
-// table was last read by anyone the sender heard of. Who hears of a young read knows as much as if it had read: the
-// fact and the age travel in the same messages, so an age is never known without what that read found.
+// With 340 hosts, one read a second by every host is a sixth of the table's total read capacity. Therefore only a few
+// hosts of each data centre read. Membership spreads the version that they find as an urgent fact, and every probe also
+// carries the age of the most recent table read that the sender knows of. A host that learns of a recent read is as up
+// to date as if it had read itself: the fact and the age are sent in the same messages, so an age is never known
+// without the result of that read.
 //
-// Failure: the readers are dead, frozen or cut off from the table, and nobody has noticed yet. It would show as a
-// change that is in force nowhere, while every host thinks that others look. Here the ages grow, and each host reads
-// itself once they are staleAfter, whoever the readers were; what it reads makes the others' ages young again. Nothing
-// rests on finding out that a reader is dead.
+// The readers may be dead, frozen or cut off from the table without having been detected, and a change would be in
+// force nowhere while every host relies on the others. In this case the ages grow, and each host reads the table itself
+// once they reach staleAfter, whichever hosts the readers are; its read then resets the ages of the others. Correctness
+// does not depend on detecting that a reader is dead.
 //
-// A host that learns, is cut off, hears too few others or knows that it is behind reads itself in any case.
+// A host that is learning, cut off, reaches too few other hosts or knows that it is behind reads in any case.
 //
-// Rejected: readers alone, with membership replacing the dead ones: a reader that is cut off from the table alone looks
-// alive. A lease in the table for the readers: writes, and nothing to read while the table is down.
+// Rejected: relying on the readers alone, with membership replacing dead ones. A reader that is cut off only from the
+// table appears alive.
+// Rejected: a lease in the table for the readers. It costs writes and cannot be read while the table is down.
 
 namespace fescuesill
 {
@@ -77,8 +79,8 @@
 
 std::optional<Duration> TableReading::age(Instant now) const
 {
-    const bool helps = this->newestRead && now - *this->newestRead < this->options.staleAfter;
-    return helps ? std::optional<Duration>(now - *this->newestRead) : std::nullopt;
+    const bool isFresh = this->newestRead && now - *this->newestRead < this->options.staleAfter;
+    return isFresh ? std::optional<Duration>(now - *this->newestRead) : std::nullopt;
 }
 
 } // namespace fescuesill
--- a/promise/tablerow.h
+++ b/promise/tablerow.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// What a core needs from the platform's table, as values: the program does the call and feeds the result back.
+// Values that the state machines exchange with the platform's table: the program performs the call and feeds the result
+// back as an event.
 //
 //     const TableWrite write{"config/current", text, RowVersion(7)};    // compare-and-set
 //     const TableWrite insert{"call/bookings/karamanlis/k1", text, absent};
@@ -13,7 +14,7 @@
 namespace fescuesill
 {
 
-// A write with this version succeeds only where the row does not exist.
+// A write with this version succeeds only if the row does not exist.
 constexpr RowVersion absent{0};
 
 struct TableRow {
@@ -27,21 +28,21 @@
     RowVersion ifVersion;
 };
 
-// Events of a table call. A program sends exactly one of them for each action that asks for a call.
+// Events of a table call. The program feeds back exactly one of them for each action that requests a call.
 namespace table
 {
 
 struct Written {
     RowVersion version;
 };
-// The row was not at the version that the write named; nothing was written.
+// The row was not at the version that the write expected; nothing was written.
 struct Conflict {
     std::optional<TableRow> row;
 };
-// The table refused (429, 503, cannot connect): the write has surely not taken effect.
+// The table refused the call (429, 503, cannot connect): the write has not taken effect.
 struct Refused {
 };
-// No reply: the write may or may not have taken effect, now or later.
+// No reply: the write may have taken effect, may do so later, or not at all.
 struct NoReply {
 };
 struct RowRead {
--- a/promise/testing/attempt_test.cpp
+++ b/promise/testing/attempt_test.cpp
@@ -83,7 +83,7 @@
     EXPECT_TRUE(std::holds_alternative<Stop>(action));
 }
 
-// What a second request sees for each row that it may find under its key.
+// The reply to a second request for each kind of row that it may find under its key.
 TEST(Attempt, ARowOfAnotherAttemptIsNeverRunAgain)
 {
     Attempt done(callOf("a2"), {});
@@ -124,8 +124,8 @@
     EXPECT_TRUE(std::holds_alternative<Send>(attempt.on(table::Written{RowVersion(8)}, start)));
 }
 
-// The insert takes effect and its reply is lost. The caller must neither hear "in progress" of its own call nor wait
-// for ever: the attempt reads its token back and goes on.
+// The insert takes effect and its reply is lost. The attempt reads its token back and continues; the caller must
+// neither be refused with "in progress" for its own call nor wait indefinitely.
 TEST(Attempt, ReadsItsTokenBackAfterALostReply)
 {
     Attempt attempt(callOf("a1"), {});
@@ -135,8 +135,8 @@
     EXPECT_TRUE(std::holds_alternative<Send>(action));
 }
 
-// An entry is frozen between insert and send and thaws when the caller has given up. The booking must not appear late:
-// the row is released, and only then is "not run" said.
+// An entry is frozen between insert and send and resumes after the caller has given up. The booking must not be made
+// late: the row is released, and "not run" is reported only after that.
 TEST(Attempt, DoesNotSendAfterAFreeze)
 {
     Attempt attempt(callOf("a1"), {});
@@ -149,7 +149,7 @@
     EXPECT_FALSE(attempt.maySent());
 }
 
-// The table goes away. The caller is told at once that its booking was not made, instead of waiting out the outage.
+// The table is unavailable. The caller is refused immediately with "not run" instead of waiting until the outage ends.
 TEST(Attempt, RefusesAtOnceInAnOutage)
 {
     Attempt attempt(callOf("a1"), {});
@@ -161,8 +161,9 @@
     EXPECT_TRUE(std::holds_alternative<Stop>(attempt.on(attempt_event::Replied{}, start)));
 }
 
-// A caller repeats a key in an outage; another entry may have run it. "Not run" would make it book a second motor.
-TEST(Attempt, ARepeatInAnOutageIsNotToldNotRun)
+// A caller repeats a key during an outage, and another entry may have run the call. A "not run" reply would make the
+// caller book a second motor.
+TEST(Attempt, DoesNotReportNotRunToARepeatInAnOutage)
 {
     AttemptCall call = callOf("a2");
     call.repeat = true;
@@ -178,9 +179,9 @@
     EXPECT_EQ(refusalIn(asking.on(attempt_event::ResultFound{{200, "", "x"}}, start)).run, RunState::MayHaveRun);
 }
 
-// The insert has no reply and the table stays silent. "Not run" is true, but the insert may land later and would block
-// the key: after the reply the row is set to released, before or after the insert lands.
-TEST(Attempt, ReleasesAnInsertThatMayLandLater)
+// The insert and all reads remain without a reply. "Not run" is correct, but the insert may take effect later and would
+// block the key. After the reply the row is set to released, whether or not the insert has taken effect by then.
+TEST(Attempt, ReleasesAnInsertThatMayTakeEffectLater)
 {
     Attempt attempt(callOf("a1"), {});
     attempt.on(attempt_event::Start{}, start);
@@ -198,7 +199,7 @@
     EXPECT_TRUE(std::holds_alternative<Stop>(attempt.on(table::Written{RowVersion(4)}, start + 5s)));
 }
 
-TEST(Attempt, ALostAnswerIsAskedForOrSaidToBeUnknown)
+TEST(Attempt, ALostAnswerIsQueriedOrReportedAsUnknown)
 {
     for (const bool resultQuery : {false, true}) {
         AttemptCall call = callOf("a1");
@@ -217,7 +218,7 @@
     }
 }
 
-TEST(Attempt, AnAnswerTooLargeToKeepReachesItsCallerOnly)
+TEST(Attempt, AnAnswerTooLargeToStoreIsOnlyReturnedToItsCaller)
 {
     Attempt attempt(callOf("a1"), {});
     attempt.on(attempt_event::Start{}, start);
--- a/promise/testing/configchange_test.cpp
+++ b/promise/testing/configchange_test.cpp
@@ -44,8 +44,8 @@
     EXPECT_EQ(outcomeOf(change.on(table::Written{RowVersion(14)})), ConfigOutcome::Accepted);
 }
 
-// Two operators start from version 3 at the same moment. One is told that he lost, and to what.
-TEST(ConfigChange, TheLoserOfARaceIsShownTheOther)
+// Two operators change version 3 at the same time. The one whose change is not accepted receives the other change.
+TEST(ConfigChange, TheLoserOfARaceReceivesTheOtherChange)
 {
     ConfigChange change = changeFrom(3);
     change.start();
@@ -56,8 +56,8 @@
     EXPECT_EQ(std::get<Finish>(action).other->changeId, "theirs");
 }
 
-// The write takes effect and its reply is lost; a colleague's change is accepted on top before the row is read again.
-// The operator must not be told that he lost.
+// The write takes effect and its reply is lost; another operator's change is accepted on top of it before the row is
+// read again. The first change must be reported as accepted.
 TEST(ConfigChange, ALostReplyIsResolvedByTheChangeId)
 {
     ConfigChange direct = changeFrom(3);
@@ -75,7 +75,7 @@
     EXPECT_EQ(outcomeOf(overtaken.on(table::RowRead{rowOf(4, "mine")})), ConfigOutcome::Accepted);
 }
 
-TEST(ConfigChange, NotMadeIsNeverSaidOfAWriteThatMayLand)
+TEST(ConfigChange, NotMadeIsNeverReportedForAWriteThatMayTakeEffect)
 {
     for (const bool written : {false, true}) {
         ConfigChange change = changeFrom(3);
--- a/promise/testing/configpush_test.cpp
+++ b/promise/testing/configpush_test.cpp
@@ -7,9 +7,9 @@
 namespace
 {
 
-// Somebody on the way keeps an operator's proof and puts another text behind it. The target that the proof covers does
-// not fit that text.
-TEST(ConfigPush, TheTargetFitsOneRecordOnly)
+// An attacker on the network reuses an operator's proof with another body. The target that the proof covers does not
+// match that body.
+TEST(ConfigPush, TheTargetMatchesOneRecordOnly)
 {
     const std::string target = configPushTarget("abc");
     EXPECT_EQ(target, "/config?sha256=ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
--- a/promise/testing/configstore_test.cpp
+++ b/promise/testing/configstore_test.cpp
@@ -9,8 +9,8 @@
 {
 
 const Instant start{100s};
-const PeerReach mostOfSix{4, 5, 5};
-const PeerReach fewOfSix{2, 5, 5};
+const PeerReach majorityOfSix{4, 5, 5};
+const PeerReach minorityOfSix{2, 5, 5};
 
 ConfigRecord recordOf(std::int64_t version)
 {
@@ -21,12 +21,12 @@
 {
     ConfigStore store({}, start);
     store.onTableRead(recordOf(3), start);
-    store.onReach(mostOfSix, start);
+    store.onReach(majorityOfSix, start);
     store.onPeerVersion(HostId("b"), ConfigVersion(3), start);
     return store;
 }
 
-TEST(ConfigRecord, ComesBackAndRefusesWhatIsNotOne)
+TEST(ConfigRecord, RoundTripsAndRejectsMalformedText)
 {
     const auto back = decodeConfigRecord(encode(recordOf(7)));
     ASSERT_TRUE(back);
@@ -38,11 +38,11 @@
     }
 }
 
-TEST(ConfigStore, AStartingHostLearnsFromTableAndAPeerBeforeItServes)
+TEST(ConfigStore, AStartingHostLearnsFromTheTableAndAPeerBeforeItServes)
 {
     ConfigStore store({}, start);
     EXPECT_EQ(store.service(start), ConfigService::Learning);
-    store.onReach(mostOfSix, start);
+    store.onReach(majorityOfSix, start);
     EXPECT_TRUE(store.onTableRead(recordOf(3), start));
     EXPECT_EQ(store.service(start), ConfigService::Learning);
     store.onPeerVersion(HostId("b"), ConfigVersion(4), start);
@@ -53,7 +53,7 @@
     EXPECT_EQ(store.version(), ConfigVersion(4));
 }
 
-TEST(ConfigStore, WithoutAPeerTheTableIsEnoughAfterAWait)
+TEST(ConfigStore, WithoutAPeerTheTableSufficesAfterStartWait)
 {
     ConfigStore store({}, start);
     store.onReach({0, 5, 5}, start);
@@ -62,12 +62,12 @@
     EXPECT_EQ(store.service(start + 2s), ConfigService::Serving);
 }
 
-// A host is replaced in the middle of a table outage. It must not serve an old text from the first peer it meets.
+// A host is replaced during a table outage. It must not serve an outdated configuration of the first peer that answers.
 TEST(ConfigStore, AStartInAnOutageNeedsSeveralServingPeers)
 {
     ConfigStore store({}, start);
     store.onTableFailed(start);
-    store.onReach(mostOfSix, start);
+    store.onReach(majorityOfSix, start);
     store.onPeerRecord(HostId("b"), recordOf(3), start);
     store.onPeerRecord(HostId("c"), recordOf(5), start);
     EXPECT_EQ(store.service(start), ConfigService::Learning);
@@ -76,45 +76,46 @@
     EXPECT_EQ(store.version(), ConfigVersion(5));
 }
 
-// The table is down for all. Nothing can be accepted, so everybody goes on.
+// The table is down for all hosts. No change can be accepted, so all of them continue to serve.
 TEST(ConfigStore, AnOutageOfTheTableDoesNotStopTheFleet)
 {
     ConfigStore store = servingStore();
     for (int second = 0; second < 600; ++second) {
         const Instant now = start + std::chrono::seconds(second);
         store.onTableFailed(now);
-        store.onReach(mostOfSix, now);
+        store.onReach(majorityOfSix, now);
         ASSERT_EQ(store.service(now), ConfigService::Serving) << second;
     }
 }
 
-// Three hosts are cut off together from the table and from the rest. They hear one another and must stop all the same.
-TEST(ConfigStore, AnIslandStopsTakingWorkAndLearnsAgain)
+// Three hosts are cut off together from the table and from the other hosts. They must stop serving although they reach
+// each other.
+TEST(ConfigStore, APartitionedMinorityStopsServingAndLearnsAgain)
 {
     ConfigStore store = servingStore();
-    store.onReach(fewOfSix, start + 5s);
+    store.onReach(minorityOfSix, start + 5s);
     EXPECT_EQ(store.service(start + 9s), ConfigService::Serving);
-    store.onReach(fewOfSix, start + 10s);
+    store.onReach(minorityOfSix, start + 10s);
     EXPECT_EQ(store.service(start + 10s), ConfigService::CutOff);
-    // The cut heals; version 4 was accepted meanwhile.
-    store.onReach(mostOfSix, start + 20s);
+    // The partition ends; version 4 was accepted in the meantime.
+    store.onReach(majorityOfSix, start + 20s);
     EXPECT_EQ(store.service(start + 20s), ConfigService::Learning);
     store.onTableRead(recordOf(4), start + 21s);
     store.onPeerVersion(HostId("b"), ConfigVersion(4), start + 21s);
     EXPECT_EQ(store.service(start + 21s), ConfigService::Serving);
 }
 
-// A process is frozen for a minute in which a change was accepted. It thaws with a queue of old events.
-TEST(ConfigStore, AThawedHostLearnsBeforeItServes)
+// A process is frozen for a minute in which a change was accepted, and resumes with a queue of old events.
+TEST(ConfigStore, AResumedHostLearnsBeforeItServes)
 {
     ConfigStore store = servingStore();
-    const Instant thaw = start + 60s;
-    EXPECT_EQ(store.service(thaw), ConfigService::CutOff);
-    store.onReach(mostOfSix, thaw);
-    EXPECT_EQ(store.service(thaw), ConfigService::Learning);
+    const Instant resumed = start + 60s;
+    EXPECT_EQ(store.service(resumed), ConfigService::CutOff);
+    store.onReach(majorityOfSix, resumed);
+    EXPECT_EQ(store.service(resumed), ConfigService::Learning);
 }
 
-RC_GTEST_PROP(ConfigStore, TheVersionNeverGoesDown, (const std::vector<std::uint8_t> &arrivals))
+RC_GTEST_PROP(ConfigStore, TheVersionNeverDecreases, (const std::vector<std::uint8_t> &arrivals))
 {
     ConfigStore store({}, start);
     std::int64_t highest = 0;
--- a/promise/testing/endpointregistry_test.cpp
+++ b/promise/testing/endpointregistry_test.cpp
@@ -30,13 +30,13 @@
     registry.onChanged(leaving, start);
     EXPECT_EQ(registry.usable(service).size(), 1U);
     EXPECT_FALSE(registry.mayUse(record("a")));
-    registry.onRemoved(EndpointId("b"), start); // some leave without a word
+    registry.onRemoved(EndpointId("b"), start); // removed without announcing that it leaves
     EXPECT_TRUE(registry.usable(service).empty());
 }
 
-// The table is away for some seconds. Rows lapse meanwhile, and live endpoints write them again within two seconds. If
-// a host believed the first list after the outage, it would turn every caller away though every endpoint is well.
-TEST(EndpointRegistry, KeepsWhatLapsedInAnOutage)
+// The table is unavailable for some seconds. Rows expire meanwhile, and live endpoints write them again within two
+// seconds. A host that applied the first list after the outage would refuse every caller although every endpoint works.
+TEST(EndpointRegistry, KeepsEndpointsWhoseRowsExpiredInAnOutage)
 {
     EndpointRegistry registry({});
     registry.onListed({record("back"), record("gone")}, start);
@@ -50,8 +50,8 @@
     EXPECT_EQ(registry.usable(service)[0]->id, EndpointId("back"));
 }
 
-// The same by single changes instead of a list; and an endpoint that had said it leaves is not kept.
-TEST(EndpointRegistry, KeepsNoLeavingEndpointOverAnOutage)
+// The same with single changes instead of a list. An endpoint that announced that it leaves is not kept.
+TEST(EndpointRegistry, KeepsNoLeavingEndpointAcrossAnOutage)
 {
     EndpointRegistry registry({});
     EndpointRecord leaving = record("leaving");
@@ -66,7 +66,7 @@
     EXPECT_EQ(registry.size(), 0U);
 }
 
-TEST(EndpointRegistry, RemovalLongAfterAnOutageCounts)
+TEST(EndpointRegistry, RemovesEndpointsAfterTheGracePeriod)
 {
     EndpointRegistry registry({});
     registry.onListed({record("a")}, start);
@@ -76,7 +76,7 @@
     EXPECT_EQ(registry.size(), 0U);
 }
 
-TEST(EndpointRegistry, TellsStartsOfOneEndpointApart)
+TEST(EndpointRegistry, DistinguishesIncarnationsOfAnEndpoint)
 {
     EndpointRegistry registry({});
     registry.onListed({record("a", 1)}, start);
--- a/promise/testing/ledgerrecord_test.cpp
+++ b/promise/testing/ledgerrecord_test.cpp
@@ -23,7 +23,7 @@
     return record;
 }
 
-TEST(LedgerRecord, ComesBackAsItWasWritten)
+TEST(LedgerRecord, RoundTrips)
 {
     const LedgerRecord record = doneRecord();
     const auto back = decodeLedgerRecord(encode(record));
@@ -37,7 +37,7 @@
     EXPECT_EQ(back->answer, record.answer);
 }
 
-TEST(LedgerRecord, RefusesWhatIsNotOne)
+TEST(LedgerRecord, RejectsMalformedText)
 {
     const std::string good = encode(doneRecord());
     EXPECT_FALSE(decodeLedgerRecord(""));
@@ -51,7 +51,7 @@
     }
 }
 
-TEST(LedgerRecord, DigestTellsMethodPathAndBodyApart)
+TEST(LedgerRecord, DigestDistinguishesMethodPathAndBody)
 {
     EXPECT_EQ(bodyDigest("POST", "/b", "x"), bodyDigest("POST", "/b", "x"));
     EXPECT_NE(bodyDigest("POST", "/b", "x"), bodyDigest("POST", "/bx", ""));
@@ -63,12 +63,12 @@
     const LedgerRecord record = doneRecord();
     EXPECT_FALSE(mayDelete(record, record.expiry + 500ms, 500ms));
     EXPECT_TRUE(mayDelete(record, record.expiry + 501ms, 500ms));
-    LedgerRecord doubtful = record;
-    doubtful.state = LedgerState::Open;
-    EXPECT_FALSE(mayDelete(doubtful, record.expiry + 24h * 365, 500ms));
+    LedgerRecord inDoubt = record;
+    inDoubt.state = LedgerState::Open;
+    EXPECT_FALSE(mayDelete(inDoubt, record.expiry + 24h * 365, 500ms));
 }
 
-RC_GTEST_PROP(Base64Url, EveryTextHasOneForm, (const std::string &bytes))
+RC_GTEST_PROP(Base64Url, EveryTextHasOneEncoding, (const std::string &bytes))
 {
     const std::string text = toBase64Url(bytes);
     RC_ASSERT(fromBase64Url(text) == std::optional<std::string>(bytes));
--- a/promise/testing/ledgersettlement_test.cpp
+++ b/promise/testing/ledgersettlement_test.cpp
@@ -64,7 +64,7 @@
     return std::get<Refusal>(std::get<attempt_action::Reply>(action).with);
 }
 
-TEST(LedgerSettlement, WritesWhoAndWhyAtTheVersionSeen)
+TEST(LedgerSettlement, WritesAuthorAndReasonAtTheVersionRead)
 {
     for (const bool ran : {false, true}) {
         LedgerSettlement settlement = settlementOf(ran);
@@ -83,7 +83,7 @@
     }
 }
 
-TEST(LedgerSettlement, RefusesWhatIsNotInDoubt)
+TEST(LedgerSettlement, RefusesRowsThatAreNotInDoubt)
 {
     LedgerRecord done = openRecord();
     done.state = LedgerState::Done;
@@ -98,11 +98,11 @@
         {"no row", std::nullopt, start + 1h, true, SettlementOutcome::NoRow},
         {"malformed", TableRow{"}", RowVersion(1)}, start + 1h, true, SettlementOutcome::Malformed},
         {"done", TableRow{encode(done), RowVersion(2)}, start + 1h, false, SettlementOutcome::AlreadySettled},
-        {"another's statement", TableRow{encode(settledRecord(false)), RowVersion(2)}, start + 1h, true,
+        {"another operator's statement", TableRow{encode(settledRecord(false)), RowVersion(2)}, start + 1h, true,
          SettlementOutcome::AlreadySettled},
         {"before the deadline", openRow(), start + 4s, true, SettlementOutcome::TooEarly},
         {"within the margin", openRow(), start + 4500ms, true, SettlementOutcome::TooEarly},
-        {"not run, soon", openRow(), start + 4500ms + 30min, false, SettlementOutcome::TooEarly},
+        {"not run, before the delay has passed", openRow(), start + 4500ms + 30min, false, SettlementOutcome::TooEarly},
     };
     for (const Case &one : cases) {
         LedgerSettlement settlement = settlementOf(one.ran, "c2");
@@ -111,16 +111,16 @@
     }
 }
 
-// The reply to an operator's statement is lost after it took effect. The operator must hear that it stands, and neither
-// that another came first nor that nothing was written.
-TEST(LedgerSettlement, ALostReplyIsReadBackByTheChangeId)
+// The reply to the write of an operator's statement is lost after the write took effect. The statement must be reported
+// as settled, and neither as made by another operator nor as not written.
+TEST(LedgerSettlement, ALostReplyIsResolvedByTheChangeId)
 {
-    LedgerSettlement landed = settlementOf(false);
-    landed.start();
-    landed.on(table::RowRead{openRow()}, start + 1h);
-    ASSERT_TRUE(std::holds_alternative<settlement_action::Read>(landed.on(table::NoReply{}, start + 1h)));
+    LedgerSettlement written = settlementOf(false);
+    written.start();
+    written.on(table::RowRead{openRow()}, start + 1h);
+    ASSERT_TRUE(std::holds_alternative<settlement_action::Read>(written.on(table::NoReply{}, start + 1h)));
     const TableRow settled{encode(settledRecord(false)), RowVersion(2)};
-    EXPECT_EQ(finishIn(landed.on(table::RowRead{settled}, start + 1h)).outcome, SettlementOutcome::Settled);
+    EXPECT_EQ(finishIn(written.on(table::RowRead{settled}, start + 1h)).outcome, SettlementOutcome::Settled);
 
     LedgerSettlement silent = settlementOf(false);
     silent.start();
@@ -139,8 +139,8 @@
     EXPECT_EQ(finishIn(action).outcome, SettlementOutcome::NotMade);
 }
 
-// An operator states that a booking was not run. Whoever repeats its key must not run it, and must not hear the
-// ledger's own "not run", which nobody can hold to: the first attempt may be frozen with its bytes.
+// An operator states that a booking was not run. A repeat of its key must not run it and must not be answered with the
+// run state "not run", which the ledger cannot guarantee: the first attempt may be frozen with unsent bytes.
 TEST(LedgerSettlement, AClosedKeyIsNeverRunAgain)
 {
     const TableRow closed{encode(settledRecord(false)), RowVersion(2)};
@@ -157,10 +157,10 @@
     EXPECT_EQ(refusalIn(asking.on(attempt_event::ResultAbsent{}, start + 1h)).code, RefusalCode::StatedNotRun);
 }
 
-// The entry was frozen after its last look at the clock; an operator states "not run"; the entry thaws, and the booking
-// runs. The answer must take the statement's place, or repeats hear "not run" for ever. One that was frozen earlier
-// releases, which must not open the key again.
-TEST(LedgerSettlement, TheAttemptsOwnAnswerOverrulesAStatementAndItsReleaseDoesNot)
+// The entry was frozen after its last check of the clock, an operator states "not run", the entry resumes and the
+// booking runs. The answer must override the statement, or repeats are told "not run" permanently. An attempt that was
+// frozen earlier releases its row, which must not reopen the key.
+TEST(LedgerSettlement, TheAttemptsOwnAnswerOverridesAStatementAndItsReleaseDoesNot)
 {
     const TableRow closed{encode(settledRecord(false)), RowVersion(2)};
     Attempt late(callOf("a1", false), {});
@@ -176,11 +176,11 @@
     EXPECT_EQ(record.answer->body, "booked");
     EXPECT_EQ(record.stated->author, "eleni");
 
-    Attempt thawed(callOf("a1", false), {});
-    thawed.on(attempt_event::Start{}, start);
-    ASSERT_TRUE(std::holds_alternative<attempt_action::Write>(thawed.on(table::Written{RowVersion(1)}, start + 1h)));
-    EXPECT_EQ(refusalIn(thawed.on(table::Conflict{closed}, start + 1h)).code, RefusalCode::StatedNotRun);
-    EXPECT_TRUE(std::holds_alternative<attempt_action::Stop>(thawed.on(attempt_event::Replied{}, start + 1h)));
+    Attempt resumed(callOf("a1", false), {});
+    resumed.on(attempt_event::Start{}, start);
+    ASSERT_TRUE(std::holds_alternative<attempt_action::Write>(resumed.on(table::Written{RowVersion(1)}, start + 1h)));
+    EXPECT_EQ(refusalIn(resumed.on(table::Conflict{closed}, start + 1h)).code, RefusalCode::StatedNotRun);
+    EXPECT_TRUE(std::holds_alternative<attempt_action::Stop>(resumed.on(attempt_event::Replied{}, start + 1h)));
 }
 
 } // namespace
--- a/promise/testing/ledgersweep_test.cpp
+++ b/promise/testing/ledgersweep_test.cpp
@@ -25,7 +25,7 @@
     return record;
 }
 
-// The platform's table: versions go on over a delete.
+// A fake of the platform's table. Versions continue across a delete.
 class MapTable
 {
 public:
@@ -80,7 +80,7 @@
     }
 }
 
-TEST(LedgerSweep, DeletesWhatIsSettledAndPastItsTimeAndNothingElse)
+TEST(LedgerSweep, DeletesOnlyRowsThatAreSettledAndExpired)
 {
     LedgerRecord stated = recordOf(LedgerState::Done, start - 3h);
     stated.stated = LedgerStatement{"eleni", "seen", "c1", start - 200h, true};
@@ -117,7 +117,7 @@
     EXPECT_EQ(sweep.counts().malformed, 1U);
 }
 
-TEST(LedgerSweep, EachPartFallsToOneHostAndTogetherTheyTakeOneShare)
+TEST(LedgerSweep, EachPartIsAssignedToOneHostAndTheHostsShareOneRate)
 {
     MapTable table;
     for (int i = 0; i < 40; ++i) {
@@ -147,7 +147,7 @@
     EXPECT_NEAR(rate, LedgerSweep::Options().readsPerSecond, 0.1);
 }
 
-TEST(LedgerSweep, AHostWithoutAViewOfTheOthersSweepsNothing)
+TEST(LedgerSweep, AHostThatKnowsNoLiveHostsSweepsNothing)
 {
     MapTable table;
     table.put("call/bookings/w/k", encode(recordOf(LedgerState::Done, start - 2h)));
@@ -159,8 +159,8 @@
     }
 }
 
-// One page is larger than a client takes, because its answers are. The sweep must not stay before it for ever.
-TEST(LedgerSweep, AsksForLessAfterAFailedReadAndGivesWayToCallers)
+// One page is larger than the client accepts, because its answers are large. The sweep must not stop at it.
+TEST(LedgerSweep, ReadsFewerRowsAfterAFailedReadAndPausesForCallers)
 {
     MapTable table;
     for (int i = 0; i < 20; ++i) {
@@ -180,10 +180,10 @@
     EXPECT_TRUE(table.rows.empty());
 }
 
-// Two hosts that both take a part for their own sweep it, either may stay frozen between read and delete for as long as
-// it likes, deletes fail and replies are lost, and callers go on using the keys. No row may go that is open, or settled
-// and within its time, at the moment it is deleted.
-RC_GTEST_PROP(LedgerSweep, NothingThatChangedIsDeleted, ())
+// Two hosts sweep the same part, either may be frozen between read and delete for any time, deletes fail, replies are
+// lost, and callers continue to use the keys. No row may be deleted that is open, or settled and not yet expired, at
+// the time of the delete.
+RC_GTEST_PROP(LedgerSweep, RowsChangedAfterTheReadAreNotDeleted, ())
 {
     MapTable table;
     LedgerSweep first(self, {});
@@ -205,8 +205,8 @@
         SweepEvent event = table.perform(actions[who]);
         for (const auto &[key, row] : before) {
             const LedgerRecord record = *decodeLedgerRecord(row.value);
-            const bool isOver = record.state == LedgerState::Done || record.state == LedgerState::Released;
-            RC_ASSERT(table.rows.count(key) == 1 || (isOver && record.expiry < start));
+            const bool isSettled = record.state == LedgerState::Done || record.state == LedgerState::Released;
+            RC_ASSERT(table.rows.count(key) == 1 || (isSettled && record.expiry < start));
         }
         if (std::holds_alternative<sweep_event::Deleted>(event) && *rc::gen::arbitrary<bool>()) {
             event = sweep_event::DeleteFailed{};
--- a/promise/testing/resumetoken_benchmark.cpp
+++ b/promise/testing/resumetoken_benchmark.cpp
@@ -1,4 +1,4 @@
-// Tokens a second on one core: one event id per fragment, against one HMAC per fragment.
+// Tokens per second on one core: one event ID per fragment compared with one HMAC per fragment.
 //
 //     g++ -std=c++17 -O2 -Iinclude -I. promise/testing/resumetoken_benchmark.cpp \
 //         promise/{resumetoken,base64url,bytefields}.cpp -lcrypto \
--- a/promise/testing/resumetoken_test.cpp
+++ b/promise/testing/resumetoken_test.cpp
@@ -30,8 +30,8 @@
     EXPECT_EQ(point->grant.expiry, grant().expiry);
 }
 
-// The keys are rotated while callers hold tokens of the old one: they must not be cut off.
-TEST(ResumeToken, TheOldKeyIsAcceptedUntilItIsTakenAway)
+// The keys are rotated while callers hold tokens signed with the old key. Their streams must not be interrupted.
+TEST(ResumeToken, TheOldKeyIsAcceptedUntilItIsRemoved)
 {
     const std::string id = ResumeTokens::eventId(ResumeTokens::create({keyA}).value().mint(grant()), Offset(0));
     const WorkspaceId workspace("karamanlis");
@@ -39,7 +39,7 @@
     EXPECT_EQ(ResumeTokens::create({keyB}).value().open(id, workspace, now).error(), ResumeTokenError::Forged);
 }
 
-TEST(ResumeToken, RefusesOthersAndTheExpired)
+TEST(ResumeToken, RefusesTokensOfOtherWorkspacesAndExpiredTokens)
 {
     const auto tokens = ResumeTokens::create({keyA}).value();
     const std::string id = ResumeTokens::eventId(tokens.mint(grant()), Offset(3));
--- a/promise/testing/tablereading_test.cpp
+++ b/promise/testing/tablereading_test.cpp
@@ -16,9 +16,9 @@
 {
 
 const Instant start{1000s};
-const TableReading::Situation relies{false, true, true, false};
+const TableReading::Situation mayRely{false, true, true, false};
 
-TEST(TableReading, WhoMayRelyOnOthers)
+TEST(TableReading, RelyingOnOtherHostsDependsOnTheSituation)
 {
     struct Case {
         const char *what;
@@ -26,22 +26,22 @@
         bool isDue;
     };
     const Case cases[] = {
-        {"hears a young read", relies, false},
+        {"knows of a recent read", mayRely, false},
         {"a reader", {true, true, true, false}, true},
-        {"does not serve: learns or is cut off", {false, false, true, false}, true},
-        {"hears too few", {false, true, false, false}, true},
+        {"not serving: learning or cut off", {false, false, true, false}, true},
+        {"reaches no majority", {false, true, false, false}, true},
         {"knows of a higher version", {false, true, true, true}, true},
     };
     for (const Case &one : cases) {
         TableReading reading({});
-        EXPECT_TRUE(reading.isDue(relies, start));
+        EXPECT_TRUE(reading.isDue(mayRely, start));
         reading.onPeerReadAge(1s, start);
         EXPECT_EQ(reading.isDue(one.situation, start + 1s), one.isDue) << one.what;
         EXPECT_TRUE(reading.isDue(one.situation, start + 3s)) << one.what;
     }
 }
 
-TEST(TableReading, PassesOnTheYoungestAgeWhileItHelps)
+TEST(TableReading, ReportsTheLowestAgeUntilItIsStale)
 {
     TableReading reading({});
     EXPECT_FALSE(reading.age(start));
@@ -55,13 +55,13 @@
     EXPECT_FALSE(reading.age(start + 5s));
 }
 
-// The table refuses because it has too many calls. If every host now read it each second, it would never recover.
-TEST(TableReading, AFailedReadIsNotRepeatedAtOnceByThoseWhoAreNoReaders)
+// The table refuses calls because it is overloaded. If every host then read it once a second, it would not recover.
+TEST(TableReading, AHostThatIsNotAReaderPausesAfterAFailedRead)
 {
     TableReading reading({});
     reading.onFailed(start);
-    EXPECT_FALSE(reading.isDue(relies, start + 3s));
-    EXPECT_TRUE(reading.isDue(relies, start + 4s));
+    EXPECT_FALSE(reading.isDue(mayRely, start + 3s));
+    EXPECT_TRUE(reading.isDue(mayRely, start + 4s));
     EXPECT_TRUE(reading.isDue({true, true, true, false}, start + 1s));
 }
 
@@ -93,8 +93,8 @@
 constexpr Duration tickLength = 50ms;
 constexpr int dataCentres = 6;
 
-// Hosts with membership, readings and a configuration in virtual time, and a table that they read each 1.2 s, the
-// longest pause of the platform's duty. A message takes a tick.
+// Simulates hosts with membership, table reading and a configuration in virtual time. Each host may read the table
+// every 1.2 s, the longest pause between reads in the scheduler. A message takes one tick.
 class ReadingFleet
 {
 public:
@@ -141,7 +141,7 @@
         }
     }
 
-    // The longest that any live host took to have the version, to the tick; none where it took more than a minute.
+    // Time until every live host has the version, to the tick; none if it takes more than a minute.
     std::optional<Duration> runUntilInForce(std::int64_t version)
     {
         const Instant since = this->now;
@@ -226,7 +226,7 @@
         }
     }
 
-    // From the host that the fact names, which then is the first that had the version.
+    // Fetches the record from the host named in the fact, which was the first to have the version.
     void fetch(Host &host)
     {
         for (const Fact &fact : host.membership->facts()) {
@@ -262,10 +262,10 @@
     std::vector<ProbeMessage> flying;
 };
 
-constexpr Duration promised = 6s;
+constexpr Duration maxPropagationTime = 6s;
 
-// 340 hosts that all read the table each second take a sixth of what it gives to everyone.
-TEST(ReadingFleet, AFewReadForAll)
+// If each of 340 hosts read the table once a second, the reads would take a sixth of its total capacity.
+TEST(ReadingFleet, AFewHostsReadForAll)
 {
     ReadingFleet fleet(340);
     EXPECT_EQ(fleet.readers().size(), 18U);
@@ -277,16 +277,16 @@
     const auto took = fleet.runUntilInForce(2);
     ASSERT_TRUE(took);
     std::printf("in force everywhere after %.2f s\n", std::chrono::duration<double>(*took).count());
-    EXPECT_LE(*took, promised);
+    EXPECT_LE(*took, maxPropagationTime);
 }
 
-// A change is accepted, and in that moment something happens to those who read for all. Each other host thinks that
-// they look; the change must be in force everywhere it can be within six seconds all the same.
-TEST(ReadingFleet, AChangeIsInForceInTimeWhateverHappensToTheReaders)
+// The readers fail at the moment at which a change is accepted, while all other hosts rely on them. The change must
+// still be in force within six seconds on every host that can receive it.
+TEST(ReadingFleet, AChangeIsInForceInTimeWhenTheReadersFail)
 {
     struct Case {
         const char *what;
-        void (*strike)(ReadingFleet &fleet);
+        void (*injectFault)(ReadingFleet &fleet);
     };
     const Case cases[] = {
         {"all readers die or freeze",
@@ -317,18 +317,19 @@
     for (const int size : {36, 120}) {
         for (const Case &one : cases) {
             ReadingFleet fleet(size);
-            one.strike(fleet);
+            one.injectFault(fleet);
             fleet.tableVersion = 2;
             const auto took = fleet.runUntilInForce(2);
             ASSERT_TRUE(took) << size << " " << one.what;
             std::printf("%d hosts, %s: %.2f s\n", size, one.what, std::chrono::duration<double>(*took).count());
-            EXPECT_LE(*took, promised) << size << " " << one.what;
+            EXPECT_LE(*took, maxPropagationTime) << size << " " << one.what;
         }
     }
 }
 
-// The table fails right after the first reader saw the change; the others must have it from that reader.
-TEST(ReadingFleet, ATableOutageRightAfterAChangeDoesNotHoldItUp)
+// The table fails immediately after the first reader has read the change. The other hosts must receive it from that
+// reader.
+TEST(ReadingFleet, ATableOutageRightAfterAChangeDoesNotDelayIt)
 {
     for (const int size : {36, 120}) {
         ReadingFleet fleet(size);
@@ -343,7 +344,7 @@
         fleet.isTableDown = true;
         const auto took = fleet.runUntilInForce(2);
         ASSERT_TRUE(took) << size;
-        EXPECT_LE(*took, promised) << size;
+        EXPECT_LE(*took, maxPropagationTime) << size;
     }
 }
 
--- a/promise/testing/writebatch_test.cpp
+++ b/promise/testing/writebatch_test.cpp
@@ -13,7 +13,7 @@
 
 const Instant start{1000s};
 
-TEST(WriteBatch, WaitsItsWindowOrUntilItIsFull)
+TEST(WriteBatch, IsDueAfterItsWindowOrWhenFull)
 {
     WriteBatch batch({});
     EXPECT_FALSE(batch.due());
@@ -26,7 +26,7 @@
     EXPECT_EQ(batch.take(start + 3ms)->writes.size(), 64U);
 }
 
-TEST(WriteBatch, AWriteBehindOneOfItsKeyWaitsForTheResult)
+TEST(WriteBatch, AWriteWaitsForAnEarlierWriteOfTheSameKey)
 {
     WriteBatch batch({});
     batch.add(1, {"a", "first", absent}, start);
@@ -39,7 +39,7 @@
     EXPECT_EQ(batch.take(start + 1s)->writes.front().value, "second");
 }
 
-TEST(WriteBatch, RefusesWhatItCannotKeep)
+TEST(WriteBatch, RefusesWritesBeyondItsQueueLimit)
 {
     WriteBatch::Options options;
     options.maxWaiting = 2;
@@ -49,8 +49,8 @@
     EXPECT_FALSE(batch.add(3, {"c", "", absent}, start));
 }
 
-// Bookings of many callers in one commit, some of them repeats: each must end as if it had been written alone, and the
-// repeats must not fail the others.
+// One commit holds bookings of many callers, some of them repeats. Each must end as if it had been written alone, and
+// the conflicts of the repeats must not fail the others.
 TEST(WriteBatch, EndsEachWriteAsIfItWereAlone)
 {
     std::mt19937 random(20261202);
@@ -92,7 +92,7 @@
     EXPECT_EQ(static_cast<std::size_t>(
                   std::count_if(written.begin(), written.end(), [](const auto &entry) { return entry.second; })),
               table.size());
-    EXPECT_LT(commits, 1000); // not above twice the cost of single writes
+    EXPECT_LT(commits, 1000); // less than twice the cost of single writes
 }
 
 } // namespace
--- a/promise/writebatch.cpp
+++ b/promise/writebatch.cpp
@@ -3,14 +3,16 @@
 #include <algorithm>
 #include <utility>
 
-// A commit is all or nothing, and the writes in one batch have nothing to do with each other. A conflict names the
-// write to blame: that one fails, the others go first into the next commit. Each write keeps its own condition, so
-// writing the rest again is what they would have met alone.
+// A commit is atomic, while the writes in one batch are independent of each other. A conflict identifies the write that
+// caused it: that write fails, and the others are placed first in the next commit. Each write keeps its own condition,
+// so the others end as if they had been written alone.
 //
-// Many conflicts in one batch (callers that repeat after an outage) would cost a commit each. So a conflict halves the
-// size of the next batches and a success doubles it: the cost tends to that of single writes and not above twice it.
+// Many conflicts in one batch (callers that repeat after an outage) would cost one commit each. So a conflict halves
+// the size of the next batches and a success doubles it: the cost approaches that of single writes and is at most
+// twice that.
 //
-// Two writes of one key never share a commit, nor are under way at once: their order is the order of add().
+// Two writes of one key are never in the same commit or in flight at the same time: they are applied in the order of
+// add().
 
 namespace fescuesill
 {
@@ -61,14 +63,14 @@
     if (this->inFlight.size() >= this->options.maxInFlight) {
         return std::nullopt;
     }
-    // Writes behind one of the same key that is under way wait for its result, not for a time: a program that was told
-    // a time in the past would ask in a tight loop.
-    const auto free = std::find_if(this->waiting.begin(), this->waiting.end(),
-                                   [this](const Item &item) { return this->keysInFlight.count(item.write.key) == 0; });
-    if (free == this->waiting.end()) {
+    // Writes behind one of the same key in flight wait for its result, not for a time: returning a time in the past
+    // would make the program poll in a tight loop.
+    const auto ready = std::find_if(this->waiting.begin(), this->waiting.end(),
+                                    [this](const Item &item) { return this->keysInFlight.count(item.write.key) == 0; });
+    if (ready == this->waiting.end()) {
         return std::nullopt;
     }
-    return this->waiting.size() >= this->limit ? Instant::min() : free->due;
+    return this->waiting.size() >= this->limit ? Instant::min() : ready->due;
 }
 
 std::vector<BatchResult> WriteBatch::onCommitted(std::uint64_t id, const std::vector<RowVersion> &versions)
@@ -100,7 +102,7 @@
     std::vector<BatchResult> results{{items[index].ticket, table::Conflict{std::move(row)}}};
     items.erase(items.begin() + static_cast<std::ptrdiff_t>(index));
     for (Item &item : items) {
-        item.due = Instant::min(); // it has waited its window
+        item.due = Instant::min(); // its window has already passed
     }
     this->waiting.insert(this->waiting.begin(), std::make_move_iterator(items.begin()),
                          std::make_move_iterator(items.end()));
@@ -131,11 +133,11 @@
     return items;
 }
 
-std::vector<BatchResult> WriteBatch::completeAll(std::uint64_t id, const BatchResult &model)
+std::vector<BatchResult> WriteBatch::completeAll(std::uint64_t id, const BatchResult &common)
 {
     std::vector<BatchResult> results;
     for (const Item &item : this->remove(id)) {
-        results.push_back({item.ticket, model.result});
+        results.push_back({item.ticket, common.result});
     }
     return results;
 }
--- a/promise/writebatch.h
+++ b/promise/writebatch.h
@@ -1,14 +1,15 @@
 #pragma once
 
-// Puts single writes to the table together into commits: the platform takes several hundred a second for all of us.
+// Batches single table writes into commits, because the platform accepts only several hundred commits a second in
+// total.
 //
 //     WriteBatch batch(options);
-//     if (!batch.add(ticket, write, now)) { ... full: the store cannot keep up; table::Refused ... }
+//     if (!batch.add(ticket, write, now)) { ... queue full, the table is too slow: table::Refused ... }
 //     if (std::optional<BatchCommit> commit = batch.take(now)) { ... send; then one of
 //         batch.onCommitted(commit->id, versions) / onConflict(commit->id, index, row) / onRefused(id) / onNoReply(id)
 //         ... }
 //     for (const BatchResult &result : results) { ... resume the owner of result.ticket ... }
-//     batch.due();     // when to call take() again
+//     batch.due();     // the next time to call take()
 
 #include "promise/tablerow.h"
 
@@ -39,27 +40,27 @@
 {
 public:
     struct Options {
-        // What a booking waits for others: a tenth of what a commit takes.
+        // How long a write waits for others: a tenth of the duration of a commit.
         Duration window{3ms};
-        // Writes of one commit; 64 rows with answers stay below some 4 MB.
+        // Per commit; 64 rows with answers stay below about 4 MB.
         std::size_t maxWrites = 64;
-        // Commits under way at once. With more a slow store is only asked more.
+        // Concurrent commits. More would only add load to a slow table.
         std::size_t maxInFlight = 4;
-        // Writes waiting: a second's worth. Beyond it they are refused at once.
+        // Waiting writes: about those of one second. Further writes are refused immediately.
         std::size_t maxWaiting = 1024;
     };
 
     explicit WriteBatch(Options options);
 
-    // False when too many wait already.
+    // Returns false if too many writes are waiting.
     bool add(WriteTicket ticket, TableWrite write, Instant now);
-    // The next commit, where one is due.
+    // The next commit, if one is due.
     std::optional<BatchCommit> take(Instant now);
-    // When take() has something at the latest; none while nothing waits or too much is under way.
+    // The time from which take() returns a commit; none if no write can be sent or too many commits are in flight.
     std::optional<Instant> due() const;
 
     std::vector<BatchResult> onCommitted(std::uint64_t id, const std::vector<RowVersion> &versions);
-    // Nothing was written; the write at this index is to blame.
+    // Nothing was written; the write at this index caused the conflict.
     std::vector<BatchResult> onConflict(std::uint64_t id, std::size_t index, std::optional<TableRow> row);
     std::vector<BatchResult> onRefused(std::uint64_t id);
     std::vector<BatchResult> onNoReply(std::uint64_t id);
@@ -73,13 +74,13 @@
     using Items = std::vector<Item>;
 
     Items remove(std::uint64_t id);
-    std::vector<BatchResult> completeAll(std::uint64_t id, const BatchResult &model);
+    std::vector<BatchResult> completeAll(std::uint64_t id, const BatchResult &common);
 
     Options options;
     std::deque<Item> waiting;
     std::map<std::uint64_t, Items> inFlight;
     std::set<std::string> keysInFlight;
-    // Halved by a conflict, doubled by a success: see the source.
+    // Halved by a conflict and doubled by a success; see the source.
     std::size_t limit;
     std::uint64_t lastId = 0;
 };
