--- a/promise/ledgerrecord.cpp
+++ b/promise/ledgerrecord.cpp
@@ -257,8 +257,8 @@
     // Rows settled by an operator must not expire either: the outcome of the attempt was never received, and a frozen
     // attempt may still send. Only as many of these rows exist as operators have settled by hand, so they are kept
     // permanently.
-    const bool isSettledByAttempt = record.state == LedgerState::Done || record.state == LedgerState::Released;
-    return isSettledByAttempt && !record.stated && now > record.expiry + clockMargin;
+    const bool isDoneOrReleased = record.state == LedgerState::Done || record.state == LedgerState::Released;
+    return isDoneOrReleased && !record.stated && now > record.expiry + clockMargin;
 }
 
 } // namespace fescuesill
