--- a/programs/scheduler/peerduty.cpp
+++ b/programs/scheduler/peerduty.cpp
@@ -163,7 +163,7 @@
         TableReading::Situation situation;
         situation.isReader = isTableReader(this->options.host, owners, this->options.reading.readers);
         situation.isServing = this->store.service(now) == ConfigService::Serving;
-        situation.hearsMajority = this->membership.reach().isMajority();
+        situation.reachesMajority = this->membership.reach().isMajority();
         situation.isBehind = this->isBehind || this->store.wanted().has_value();
         return situation;
     }
--- a/promise/tablereading.cpp
+++ b/promise/tablereading.cpp
@@ -67,7 +67,7 @@
 
 bool TableReading::isDue(const Situation &situation, Instant now) const
 {
-    const bool mustRead = situation.isReader || !situation.isServing || !situation.hearsMajority;
+    const bool mustRead = situation.isReader || !situation.isServing || !situation.reachesMajority;
     if (mustRead) {
         return true;
     }
--- a/promise/tablereading.h
+++ b/promise/tablereading.h
@@ -39,7 +39,7 @@
     struct Situation {
         bool isReader = true;
         bool isServing = false; // neither learning nor cut off
-        bool hearsMajority = false; // the majority of the last probes were answered
+        bool reachesMajority = false; // the majority of the last probes were answered
         bool isBehind = false; // a higher version than the one in force is known
     };
 
--- a/promise/testing/tablereading_test.cpp
+++ b/promise/testing/tablereading_test.cpp
@@ -126,7 +126,7 @@
     void run(Duration length)
     {
         for (const Instant end = this->now + length; this->now < end; this->now += tickLength) {
-            const auto arrived = std::exchange(this->flying, {});
+            const auto arrived = std::exchange(this->inFlight, {});
             for (const ProbeMessage &message : arrived) {
                 const int to = indexOf(message.to);
                 if (this->down.count(to) == 0) {
@@ -192,7 +192,7 @@
     {
         for (ProbeMessage &message : messages) {
             message.tableReadAge = this->hosts[from].reading.age(this->now);
-            this->flying.push_back(std::move(message));
+            this->inFlight.push_back(std::move(message));
         }
     }
 
@@ -216,7 +216,7 @@
         situation.isReader = host.isReader =
             isTableReader(hostOf(at), host.membership->owners(host.membership->self().dataCentre), 3);
         situation.isServing = host.store.service(this->now) == ConfigService::Serving;
-        situation.hearsMajority = host.membership->reach().isMajority();
+        situation.reachesMajority = host.membership->reach().isMajority();
         situation.isBehind = host.store.wanted().has_value();
         if (this->now >= host.nextRead) {
             host.nextRead = this->now + 1200ms;
@@ -259,7 +259,7 @@
         return {ConfigVersion(version), "eleni", "why", "change-" + std::to_string(version), "text"};
     }
 
-    std::vector<ProbeMessage> flying;
+    std::vector<ProbeMessage> inFlight;
 };
 
 constexpr Duration maxPropagationTime = 6s;
--- a/testing/configworld.cpp
+++ b/testing/configworld.cpp
@@ -218,7 +218,7 @@
     TableReading::Situation situation;
     situation.isReader = this->isReader(host);
     situation.isServing = host.store.service(this->simulation.now) == ConfigService::Serving;
-    situation.hearsMajority = host.reach.isMajority();
+    situation.reachesMajority = host.reach.isMajority();
     situation.isBehind = host.store.wanted().has_value();
     return host.reading.isDue(situation, this->simulation.now);
 }
