--- a/programs/gateway/fleetview.cpp
+++ b/programs/gateway/fleetview.cpp
@@ -50,7 +50,7 @@
                        Log::info("endpoint_removed", {{"endpoint", removed.id.value()}});
                    },
                    [&](const store_update::Lost &) { this->registry.onStoreLost(now); },
-                   [&](const store_update::Restored &) { this->registry.onStoreBack(now); },
+                   [&](const store_update::Restored &) { this->registry.onStoreRecovered(now); },
                    [&](const auto &) {
                    }}, // handled by LeaderLink
         update);
--- a/promise/cancellation.cpp
+++ b/promise/cancellation.cpp
@@ -2,18 +2,18 @@
 
 #include <algorithm>
 
-// Failure: the DELETE or its reply is lost, and a place of the twenty that a writing engine has is held for a caller
-// that has gone. It shows as an engine that is full and writes for nobody. Cancelling is idempotent, so it is repeated
-// until the engine says that the stream is gone; 404 says so too. The end after giveUpAfter is not a hole: OrphanFinder
-// works from the engine's own list, whoever forgot the stream.
+// If the DELETE or its reply is lost, one of the twenty slots of a decode engine stays occupied for a caller that has
+// disconnected, until the engine is full of streams that nobody reads. Cancellation is idempotent, so it is repeated
+// until the engine confirms that the stream no longer exists; 404 confirms this too. Giving up after giveUpAfter leaks
+// no stream: OrphanFinder works from the engine's own list, independently of which entry lost track of the stream.
 
 namespace fescuesill
 {
 
 Cancellation::Cancellation(Options options, Instant now)
     : options(options)
-    , began(now)
-    , wait(options.firstWait)
+    , startedAt(now)
+    , wait(options.initialWait)
 {
 }
 
@@ -29,15 +29,15 @@
 
 CancelStep Cancellation::onFailed(Instant now)
 {
-    if (now - this->began >= this->options.giveUpAfter) {
+    if (now - this->startedAt >= this->options.giveUpAfter) {
         return {CancelStep::LeaveToOwner, Duration(0)};
     }
     const Duration pause = this->wait;
-    this->wait = std::min(2 * this->wait, this->options.longestWait);
+    this->wait = std::min(2 * this->wait, this->options.maxWait);
     return {CancelStep::Wait, pause};
 }
 
-CancelStep Cancellation::onWoken() const
+CancelStep Cancellation::onTimerExpired() const
 {
     return {CancelStep::Delete, Duration(0)};
 }
--- a/promise/cancellation.h
+++ b/promise/cancellation.h
@@ -1,16 +1,16 @@
 #pragma once
 
-// The cancelling of one stream at its engine, until the engine confirms that the memory is free.
+// Cancels one stream at its engine, retrying until the engine confirms that its memory is free.
 //
 //     Cancellation cancellation(options, now);
 //     CancelStep step = cancellation.start();
 //     while (step.kind == CancelStep::Delete) {
 //         step = deleteStream(stream) ? cancellation.onConfirmed() : cancellation.onFailed(now);
-//         if (step.kind == CancelStep::Wait) { sleep(step.wait); step = cancellation.onWoken(); }
+//         if (step.kind == CancelStep::Wait) { sleep(step.wait); step = cancellation.onTimerExpired(); }
 //     }
 //
-// DELETE with the own entry=HOST, answered with 200, 404 or 409 (another entry reads it by now), confirms.
-// LeaveToOwner: the owner of the cell removes it by the engine's list.
+// A DELETE with this host's entry=HOST is confirmed by 200, 404 or 409 (another entry reads the stream by now).
+// LeaveToOwner: the owner of the cell removes the stream, using the engine's list of streams.
 
 #include "fescuesill/units.h"
 
@@ -32,10 +32,11 @@
 {
 public:
     struct Options {
-        Duration firstWait{50ms};
-        // Doubling stops here: memory is scarce, and an engine back from a restart must hear soon.
-        Duration longestWait{2s};
-        // After this the owner of the cell has long seen the stream as an orphan; entries keep no endless list.
+        Duration initialWait{50ms};
+        // Upper bound of the exponential backoff: memory is scarce, and an engine that has restarted must receive the
+        // cancellation soon.
+        Duration maxWait{2s};
+        // By then the owner of the cell has detected the stream as an orphan. Bounds the list that an entry keeps.
         Duration giveUpAfter{60s};
     };
 
@@ -44,11 +45,11 @@
     CancelStep start() const;
     CancelStep onConfirmed();
     CancelStep onFailed(Instant now);
-    CancelStep onWoken() const;
+    CancelStep onTimerExpired() const;
 
 private:
     Options options;
-    Instant began;
+    Instant startedAt;
     Duration wait;
 };
 
--- a/promise/endpointregistry.cpp
+++ b/promise/endpointregistry.cpp
@@ -1,7 +1,7 @@
-// A removed row means "takes no new work" at once, with one exception: rows lapse by themselves while the table is
-// away, and treating those as gone would empty the fleet at the very moment the table returns. So what is found missing
-// from the moment the table was lost until a grace after its return is kept until that grace ends; by then a live
-// endpoint has written its row again, and what is still missing is gone.
+// An endpoint whose row is removed takes no new work from then on, with one exception: rows expire while the table is
+// unavailable, and treating those as removed would empty the fleet as soon as the table recovers. Therefore endpoints
+// found missing between the loss of the table and the end of a grace period after its recovery are kept until that
+// grace period ends. By then every live endpoint has written its row again, and those still missing are removed.
 
 #include "promise/endpointregistry.h"
 
@@ -12,18 +12,19 @@
 
 bool EndpointRegistry::isWithinGrace(Instant now) const
 {
-    return this->isLost || (this->backSince && now < *this->backSince + this->options.returnGrace);
+    return this->isStoreLost || (this->recoveredAt && now < *this->recoveredAt + this->options.returnGrace);
 }
 
 void EndpointRegistry::onMissing(std::map<EndpointId, Entry>::iterator entry, Instant now)
 {
-    // An endpoint that said it leaves and is gone from the table has left; an outage does not explain it.
+    // An endpoint that announced that it is leaving and is missing from the table has left; the outage is not the
+    // cause.
     if (!this->isWithinGrace(now) || entry->second.record.isLeaving) {
         this->entries.erase(entry);
         return;
     }
-    const Instant back = this->isLost ? now : *this->backSince;
-    entry->second.missingUntil = back + this->options.returnGrace;
+    const Instant recovered = this->isStoreLost ? now : *this->recoveredAt;
+    entry->second.missingUntil = recovered + this->options.returnGrace;
 }
 
 void EndpointRegistry::onListed(const std::vector<EndpointRecord> &records, Instant now)
@@ -56,21 +57,21 @@
 
 void EndpointRegistry::onStoreLost(Instant)
 {
-    this->isLost = true;
+    this->isStoreLost = true;
 }
 
-void EndpointRegistry::onStoreBack(Instant now)
+void EndpointRegistry::onStoreRecovered(Instant now)
 {
-    if (!this->isLost) {
+    if (!this->isStoreLost) {
         return;
     }
-    this->isLost = false;
-    this->backSince = now;
+    this->isStoreLost = false;
+    this->recoveredAt = now;
 }
 
 void EndpointRegistry::expire(Instant now)
 {
-    if (this->isLost) {
+    if (this->isStoreLost) {
         return;
     }
     for (auto entry = this->entries.begin(); entry != this->entries.end();) {
--- a/promise/ledgersweep.cpp
+++ b/promise/ledgersweep.cpp
@@ -5,34 +5,35 @@
 #include <algorithm>
 #include <xxhash.h>
 
-// Parts. The table offers rows in the order of their keys, from a key on. The keys begin with the service, so a part is
-// the rows of one service, and the services are found in the table itself: one row after "call/", one after the end of
-// its service, and so on. Rows of a service that was taken out of the declaration are thereby swept too. A part falls
-// to a host by the rendezvous hash of its service over the live hosts.
-//   Rejected: parts by workspace. Each host would look for 1,300 of them; at 340 hosts that is some 700 reads a second.
-//   Rejected: every host reads all rows and keeps those whose hash is its own: 340 times the reads.
-//   Rejected: an index of rows by their time. A second row for each booking costs the writes that are scarce.
+// Parts. The table lists rows in key order, starting after a given key. Keys begin with the service, so a part consists
+// of the rows of one service. The services are found in the table itself, by reading one row after "call/", one after
+// the end of its service, and so on. This also covers rows of services that were removed from the declaration. A part
+// is assigned to a host by the rendezvous hash of its service over the live hosts.
+//   Rejected: parts by workspace. Each host would search for 1,300 parts; with 340 hosts about 700 reads a second.
+//   Rejected: every host reads all rows and selects its own by their hash. This takes 340 times the reads.
+//   Rejected: an index of rows by expiry. A second row for each booking costs writes, which are scarce.
 //
-// Rate. The fleet has one share whatever its size. A host that sweeps k of n parts takes k/n of it. One full part
-// beside empty ones is therefore swept at 1/n of the share.
+// Rate. The fleet has one fixed rate whatever its size. A host that sweeps k of n parts uses k/n of it. One full part
+// beside empty ones is therefore swept at 1/n of the rate.
 //
-// Why nothing is lost. A row is deleted only at the version at which it was read and found settled and past its time.
-// Whoever changed it since, raised the version: the commit conflicts and deletes nothing. So two sweepers of one part,
-// a host with an old view, and one that was frozen between read and delete do no harm; a delete whose reply was lost is
-// not resolved at all: the next pass sees what is left. This leans on the table never giving one key the same version
-// twice, also over a delete (docs/ARCHITECTURE.md).
+// Safety. A row is deleted only at the version at which it was read and found settled and expired. Any later change
+// raises the version, so the commit conflicts and deletes nothing. It is therefore safe for two hosts to sweep the same
+// part, for a host to have an outdated view of the fleet, or to be frozen between read and delete. A delete whose reply
+// was lost is not resolved; the next pass sees the remaining rows. This requires that the table never assigns the same
+// version to one key twice, even across a delete (docs/ARCHITECTURE.md).
 //
-// Clocks. The time of a row is written by its entry's clock and compared with the sweeper's; clockMargin covers both.
+// Clocks. The expiry of a row is set by its entry's clock and compared with the sweeper's clock; clockMargin covers the
+// difference.
 //
-// Failure: one page is larger than the client takes (answers of 64 KB each). It shows as a sweep that never gets past a
-// key. So a read that failed is asked again with half the rows, down to one.
+// A page may be larger than the client accepts (answers of 64 KB each), which would stop the sweep at that key. So a
+// failed read is retried with half the rows, down to one.
 
 namespace fescuesill
 {
 namespace
 {
 
-// The character after '/', so that "call/SERVICE" + endOfService follows every row of the service.
+// The character after '/', so that "call/SERVICE" + endOfService sorts after every row of the service.
 constexpr char endOfService = '0';
 
 std::string serviceOf(const std::string &key)
@@ -57,12 +58,12 @@
 
 LedgerSweep::Counts LedgerSweep::counts() const
 {
-    return this->done;
+    return this->totals;
 }
 
 SweepAction LedgerSweep::start()
 {
-    return this->rest();
+    return this->waitForNextPass();
 }
 
 SweepAction LedgerSweep::on(const SweepEvent &event, Instant now)
@@ -71,27 +72,27 @@
         return this->onReadFailed();
     }
     if (const auto *rows = std::get_if<sweep_event::Rows>(&event)) {
-        return this->state == State::Finding ? this->onFound(*rows) : this->onPage(*rows, now);
+        return this->state == State::FindingServices ? this->onServiceFound(*rows) : this->onPage(*rows, now);
     }
     if (const auto *conflict = std::get_if<sweep_event::Conflict>(&event)) {
         return this->onConflict(conflict->index);
     }
     if (std::holds_alternative<sweep_event::DeleteFailed>(event)) {
-        this->doomed.clear();
-        return this->wait(State::BeforeRead, this->options.troublePause);
+        this->deletable.clear();
+        return this->wait(State::BeforeRead, this->options.failurePause);
     }
     if (std::holds_alternative<sweep_event::Deleted>(event)) {
-        this->done.deleted += this->doomed.size();
-        this->doomed.clear();
+        this->totals.deleted += this->deletable.size();
+        this->deletable.clear();
         return this->afterPage();
     }
     switch (this->state) {
-    case State::Resting:
+    case State::BetweenPasses:
         this->services.clear();
         this->cursor.clear();
-        return this->find();
-    case State::Finding:
-        return this->find();
+        return this->findServices();
+    case State::FindingServices:
+        return this->findServices();
     case State::BeforeDelete:
         return this->sendDelete();
     default:
@@ -99,21 +100,21 @@
     }
 }
 
-SweepAction LedgerSweep::rest()
+SweepAction LedgerSweep::waitForNextPass()
 {
-    return this->wait(State::Resting, this->options.passPause);
+    return this->wait(State::BetweenPasses, this->options.passPause);
 }
 
-SweepAction LedgerSweep::find()
+SweepAction LedgerSweep::findServices()
 {
     if (this->hosts.empty()) {
-        return this->rest();
+        return this->waitForNextPass();
     }
-    this->state = State::Finding;
+    this->state = State::FindingServices;
     return this->read(this->cursor, 1);
 }
 
-SweepAction LedgerSweep::onFound(const sweep_event::Rows &found)
+SweepAction LedgerSweep::onServiceFound(const sweep_event::Rows &found)
 {
     if (found.rows.empty()) {
         return this->beginParts();
@@ -121,15 +122,15 @@
     const std::string service = serviceOf(found.rows.front().key);
     this->services.push_back(service);
     this->cursor = ledgerPrefix + service + endOfService;
-    return this->wait(State::Finding, this->options.findPause);
+    return this->wait(State::FindingServices, this->options.findPause);
 }
 
 SweepAction LedgerSweep::beginParts()
 {
-    this->current = 0;
+    this->currentPart = 0;
     this->cursor.clear();
-    this->doomed.clear();
-    this->isPartEnd = false;
+    this->deletable.clear();
+    this->isPartComplete = false;
     return this->wait(State::BeforeRead, this->pace(this->options.readsPerSecond));
 }
 
@@ -139,65 +140,66 @@
     return sweep_action::Wait{duration};
 }
 
-// The next page of the current part, or the first of the next one that is still this host's.
+// Reads the next page of the current part, or the first page of the next part that is still assigned to this host.
 SweepAction LedgerSweep::nextRead()
 {
-    while (this->current < this->services.size() && (this->isPartEnd || !this->isMine(this->services[this->current]))) {
-        ++this->current;
-        this->isPartEnd = false;
+    while (this->currentPart < this->services.size()
+           && (this->isPartComplete || !this->isOwnPart(this->services[this->currentPart]))) {
+        ++this->currentPart;
+        this->isPartComplete = false;
         this->cursor.clear();
-        this->doomed.clear();
+        this->deletable.clear();
     }
-    if (this->current == this->services.size()) {
-        ++this->done.passes;
-        return this->rest();
+    if (this->currentPart == this->services.size()) {
+        ++this->totals.passes;
+        return this->waitForNextPass();
     }
-    const std::string first = ledgerPrefix + this->services[this->current] + '/';
+    const std::string first = ledgerPrefix + this->services[this->currentPart] + '/';
     this->state = State::Reading;
     return this->read(this->cursor.empty() ? first : this->cursor, this->limit);
 }
 
 SweepAction LedgerSweep::read(const std::string &after, std::size_t rows)
 {
-    ++this->done.reads;
+    ++this->totals.reads;
     return sweep_action::Read{after, rows};
 }
 
 SweepAction LedgerSweep::onReadFailed()
 {
-    const State next = this->state == State::Finding ? State::Finding : State::BeforeRead;
+    const State next = this->state == State::FindingServices ? State::FindingServices : State::BeforeRead;
     this->limit = std::max<std::size_t>(1, this->limit / 2);
-    return this->wait(next, this->options.troublePause);
+    return this->wait(next, this->options.failurePause);
 }
 
 SweepAction LedgerSweep::onPage(const sweep_event::Rows &page, Instant now)
 {
-    this->isPartEnd = page.rows.size() < this->limit;
+    this->isPartComplete = page.rows.size() < this->limit;
     for (const SweepRow &row : page.rows) {
-        if (serviceOf(row.key) != this->services[this->current]) {
-            this->isPartEnd = true;
+        if (serviceOf(row.key) != this->services[this->currentPart]) {
+            this->isPartComplete = true;
             break;
         }
         this->cursor = row.key;
-        this->take(row, now);
+        this->examine(row, now);
     }
     this->limit = std::min(this->options.page, this->limit * 2);
-    const bool isFull = this->doomed.size() + this->options.page > this->options.rowsPerDelete;
-    if (isFull || (this->isPartEnd && !this->doomed.empty())) {
+    const bool isFull = this->deletable.size() + this->options.page > this->options.rowsPerDelete;
+    if (isFull || (this->isPartComplete && !this->deletable.empty())) {
         this->batchConflicts = 0;
         return this->wait(State::BeforeDelete, this->pace(this->options.deletesPerSecond));
     }
     return this->afterPage();
 }
 
-void LedgerSweep::take(const SweepRow &row, Instant now)
+void LedgerSweep::examine(const SweepRow &row, Instant now)
 {
-    ++this->done.rows;
+    ++this->totals.rows;
     const auto record = decodeLedgerRecord(row.value);
     if (!record) {
-        ++this->done.malformed;
+        ++this->totals.malformed;
     } else if (mayDelete(*record, now, this->options.clockMargin)) {
-        this->doomed.push_back({row.key, row.version});
+        this->deletable.push_back({row.key, row.version});
     }
 }
 
@@ -206,32 +208,32 @@
     return this->wait(State::BeforeRead, this->pace(this->options.readsPerSecond));
 }
 
-// Failure: the part has gone to another host while this one waited. It does no harm, but two hosts would take the share
-// of one.
+// The part may have been reassigned to another host during the wait. Deleting would still be safe, but two hosts would
+// use the rate of one.
 SweepAction LedgerSweep::sendDelete()
 {
-    if (!this->isMine(this->services[this->current])) {
+    if (!this->isOwnPart(this->services[this->currentPart])) {
         return this->nextRead();
     }
     this->state = State::Deleting;
-    return sweep_action::Delete{this->doomed};
+    return sweep_action::Delete{this->deletable};
 }
 
 SweepAction LedgerSweep::onConflict(std::size_t index)
 {
-    ++this->done.conflicts;
-    if (++this->batchConflicts >= this->options.conflictsPerBatch || index >= this->doomed.size()) {
-        this->doomed.clear();
+    ++this->totals.conflicts;
+    if (++this->batchConflicts >= this->options.conflictsPerBatch || index >= this->deletable.size()) {
+        this->deletable.clear();
     } else {
-        this->doomed.erase(this->doomed.begin() + static_cast<std::ptrdiff_t>(index));
+        this->deletable.erase(this->deletable.begin() + static_cast<std::ptrdiff_t>(index));
     }
-    if (this->doomed.empty()) {
+    if (this->deletable.empty()) {
         return this->afterPage();
     }
     return this->wait(State::BeforeDelete, this->pace(this->options.deletesPerSecond));
 }
 
-bool LedgerSweep::isMine(const std::string &service) const
+bool LedgerSweep::isOwnPart(const std::string &service) const
 {
     return heaviestHost(XXH64(service.data(), service.size(), 0), this->hosts) == this->self;
 }
@@ -239,7 +241,7 @@
 Duration LedgerSweep::pace(double fleetRate) const
 {
     const auto mine = std::count_if(this->services.begin(), this->services.end(),
-                                    [this](const std::string &service) { return this->isMine(service); });
+                                    [this](const std::string &service) { return this->isOwnPart(service); });
     const double share = static_cast<double>(std::max<std::ptrdiff_t>(mine, 1))
         / static_cast<double>(std::max<std::size_t>(this->services.size(), 1));
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / (fleetRate * share)));
--- a/promise/testing/endpointregistry_test.cpp
+++ b/promise/testing/endpointregistry_test.cpp
@@ -30,18 +30,18 @@
     registry.onChanged(leaving, start);
     EXPECT_EQ(registry.usable(service).size(), 1U);
     EXPECT_FALSE(registry.mayUse(record("a")));
-    registry.onRemoved(EndpointId("b"), start); // some leave without a word
+    registry.onRemoved(EndpointId("b"), start); // removed without announcing that it leaves
     EXPECT_TRUE(registry.usable(service).empty());
 }
 
-// The table is away for some seconds. Rows lapse meanwhile, and live endpoints write them again within two seconds. If
-// a host believed the first list after the outage, it would turn every caller away though every endpoint is well.
-TEST(EndpointRegistry, KeepsWhatLapsedInAnOutage)
+// The table is unavailable for some seconds. Rows expire meanwhile, and live endpoints write them again within two
+// seconds. A host that applied the first list after the outage would refuse every caller although every endpoint works.
+TEST(EndpointRegistry, KeepsEndpointsWhoseRowsExpiredInAnOutage)
 {
     EndpointRegistry registry({});
     registry.onListed({record("back"), record("gone")}, start);
     registry.onStoreLost(start + 1s);
-    registry.onStoreBack(start + 6s);
+    registry.onStoreRecovered(start + 6s);
     registry.onListed({}, start + 6s);
     EXPECT_EQ(registry.usable(service).size(), 2U);
     registry.onChanged(record("back"), start + 7s);
@@ -50,15 +50,15 @@
     EXPECT_EQ(registry.usable(service)[0]->id, EndpointId("back"));
 }
 
-// The same by single changes instead of a list; and an endpoint that had said it leaves is not kept.
-TEST(EndpointRegistry, KeepsNoLeavingEndpointOverAnOutage)
+// The same with single changes instead of a list. An endpoint that announced that it leaves is not kept.
+TEST(EndpointRegistry, KeepsNoLeavingEndpointAcrossAnOutage)
 {
     EndpointRegistry registry({});
     EndpointRecord leaving = record("leaving");
     leaving.isLeaving = true;
     registry.onListed({record("live"), leaving}, start);
     registry.onStoreLost(start);
-    registry.onStoreBack(start + 1s);
+    registry.onStoreRecovered(start + 1s);
     registry.onRemoved(EndpointId("leaving"), start + 1s);
     registry.onRemoved(EndpointId("live"), start + 1s);
     EXPECT_EQ(registry.size(), 1U);
@@ -66,17 +66,17 @@
     EXPECT_EQ(registry.size(), 0U);
 }
 
-TEST(EndpointRegistry, RemovalLongAfterAnOutageCounts)
+TEST(EndpointRegistry, RemovesEndpointsAfterTheGracePeriod)
 {
     EndpointRegistry registry({});
     registry.onListed({record("a")}, start);
     registry.onStoreLost(start);
-    registry.onStoreBack(start + 1s);
+    registry.onStoreRecovered(start + 1s);
     registry.onRemoved(EndpointId("a"), start + 4s);
     EXPECT_EQ(registry.size(), 0U);
 }
 
-TEST(EndpointRegistry, TellsStartsOfOneEndpointApart)
+TEST(EndpointRegistry, DistinguishesIncarnationsOfAnEndpoint)
 {
     EndpointRegistry registry({});
     registry.onListed({record("a", 1)}, start);
