--- a/programs/entry/entryprogram.cpp
+++ b/programs/entry/entryprogram.cpp
@@ -57,7 +57,7 @@
 
     int run()
     {
-        tellOpenPorts(this->settings.keys, this->modes);
+        reportOpenPorts(this->settings.keys, this->modes);
         this->openLinks();
         this->openShards();
         this->openAdmin();
--- a/programs/entry/entryview.h
+++ b/programs/entry/entryview.h
@@ -16,7 +16,7 @@
 {
 
 struct CellRoute {
-    peer::CellNews news;
+    peer::CellUpdate news;
     std::optional<LinkId> owner; // none while the owner is out of reach
 };
 
--- a/programs/entry/linkduty.cpp
+++ b/programs/entry/linkduty.cpp
@@ -310,7 +310,7 @@
     this->news = cells.cells;
     std::map<std::string, std::set<CellId>> owners;
     owners[this->options.scheduler]; // its link stays whatever it owns
-    for (const peer::CellNews &one : this->news) {
+    for (const peer::CellUpdate &one : this->news) {
         if (!one.ownerAddress.empty()) {
             owners[one.ownerAddress].insert(one.cell);
         }
@@ -363,7 +363,7 @@
     made->declaration = this->declaration;
     made->version = this->version;
     made->heard = this->heard;
-    for (const peer::CellNews &one : this->news) {
+    for (const peer::CellUpdate &one : this->news) {
         CellRoute route{one, std::nullopt};
         const auto link = this->links.find(one.ownerAddress);
         if (link != this->links.end() && link->second.use.isOffered()) {
--- a/programs/entry/linkduty.h
+++ b/programs/entry/linkduty.h
@@ -103,7 +103,7 @@
     std::map<std::string, Link> links; // by address; as many as there are schedulers
     std::uint64_t lastLink = 0;
     std::atomic<std::size_t> opened{0};
-    std::vector<peer::CellNews> news;
+    std::vector<peer::CellUpdate> news;
     std::shared_ptr<const Declaration> declaration;
     ConfigVersion version;
     Instant heard;
--- a/programs/entry/placing.cpp
+++ b/programs/entry/placing.cpp
@@ -22,7 +22,7 @@
     return role == EngineRole::Prefill ? Pool::Prefill : Pool::Decode;
 }
 
-CellSummary summaryOf(const peer::CellNews &news)
+CellSummary summaryOf(const peer::CellUpdate &news)
 {
     CellSummary summary;
     summary.queueDelay = news.queueDelay;
--- a/programs/entry/testing/linkduty_test.cpp
+++ b/programs/entry/testing/linkduty_test.cpp
@@ -73,7 +73,7 @@
     // Says that the cell `motor` is owned at this address.
     void sayOwner(const std::string &owner)
     {
-        peer::CellNews news;
+        peer::CellUpdate news;
         news.cell = motor;
         news.owner = HostId("owner");
         news.ownerAddress = owner;
--- a/programs/gateway/configreplica.cpp
+++ b/programs/gateway/configreplica.cpp
@@ -30,9 +30,9 @@
 
 } // namespace
 
-peer::ConfigNews newsOf(const ConfigStep &step)
+peer::ConfigUpdate newsOf(const ConfigStep &step)
 {
-    peer::ConfigNews news{numberOf(step.row), numberOf(step.beforeRow), {}};
+    peer::ConfigUpdate news{numberOf(step.row), numberOf(step.beforeRow), {}};
     if (step.before) {
         const RoutingChange change = changeBetween(*step.before, *step.config);
         if (change.set.size() + change.removed.size() <= mostChangedRoutes) {
@@ -60,7 +60,7 @@
     return step;
 }
 
-ConfigReplica::NewsOutcome ConfigReplica::takeNews(const peer::ConfigNews &news)
+ConfigReplica::NewsOutcome ConfigReplica::takeNews(const peer::ConfigUpdate &news)
 {
     const RowVersion row = rowOf(news.rowVersion);
     if (row <= this->newestRow) {
--- a/programs/gateway/configreplica.h
+++ b/programs/gateway/configreplica.h
@@ -28,7 +28,7 @@
 };
 
 // The row, and the change that leads to it where that is small.
-peer::ConfigNews newsOf(const ConfigStep &step);
+peer::ConfigUpdate newsOf(const ConfigStep &step);
 
 class ConfigReplica
 {
@@ -43,7 +43,7 @@
 
     // A row as it was read, null where it could not be decoded. None where this host had it, or has nothing new by it.
     std::optional<ConfigStep> takeRow(RowVersion row, std::shared_ptr<const RoutingConfig> decoded);
-    NewsOutcome takeNews(const peer::ConfigNews &news);
+    NewsOutcome takeNews(const peer::ConfigUpdate &news);
 
     const std::shared_ptr<const RoutingConfig> &config() const
     {
--- a/programs/gateway/gatekeeper.cpp
+++ b/programs/gateway/gatekeeper.cpp
@@ -159,10 +159,10 @@
     }
     const Send reply = remote->second.reply;
     if (const auto *place = std::get_if<TryReserve>(&action)) {
-        reply(peer::TryPlace{id, place->engine, place->prefill});
+        reply(peer::OfferPlacement{id, place->engine, place->prefill});
         return;
     }
-    reply(peer::NoPlace{id, std::get<RejectGeneration>(action).retryAfter});
+    reply(peer::RejectPlacement{id, std::get<RejectGeneration>(action).retryAfter});
     this->remotes.erase(remote);
 }
 
@@ -180,9 +180,10 @@
         this->poll(gate);
         return;
     }
-    this->uplink(peer::AskPlace{ask.id, local.service, static_cast<std::uint64_t>(std::max(0, ask.rank)), ask.prompt,
-                                ask.output, ask.mostOutput, now - ask.arrival, ask.onTimeUntil - now,
-                                ask.usefulUntil - now, ask.dataCentre, ask.avoid, ask.promptName});
+    this->uplink(peer::RequestPlacement{ask.id, local.service, static_cast<std::uint64_t>(std::max(0, ask.rank)),
+                                        ask.prompt, ask.output, ask.mostOutput, now - ask.arrival,
+                                        ask.onTimeUntil - now, ask.usefulUntil - now, ask.dataCentre, ask.avoid,
+                                        ask.promptName});
 }
 
 GateAction GateKeeper::ask(const ServiceId &service, const GenerationAsk &ask, const asio::yield_context &yield)
@@ -208,53 +209,53 @@
     return decision;
 }
 
-void GateKeeper::apply(Gate &gate, const RequestId &id, peer::PlaceEvent event, Tokens made)
+void GateKeeper::apply(Gate &gate, const RequestId &id, peer::PlacementEvent event, Tokens made)
 {
     const Instant now = steadyNow();
     switch (event) {
-    case peer::PlaceEvent::Reserved:
+    case peer::PlacementEvent::Reserved:
         gate.core.onReserved(id);
         return;
-    case peer::PlaceEvent::Read:
+    case peer::PlacementEvent::Prefilled:
         gate.core.onRead(id, now);
         break;
-    case peer::PlaceEvent::ReadFailed:
+    case peer::PlacementEvent::PrefillFailed:
         gate.core.onReadFailed(id, now);
         break;
-    case peer::PlaceEvent::ResultLost:
+    case peer::PlacementEvent::ResultLost:
         gate.core.onResultLost(id, now);
         break;
-    case peer::PlaceEvent::Full:
+    case peer::PlacementEvent::Full:
         gate.core.onFull(id, now);
         break;
-    case peer::PlaceEvent::Fault:
+    case peer::PlacementEvent::Fault:
         gate.core.onFault(id, now);
         break;
-    case peer::PlaceEvent::Ended:
-    case peer::PlaceEvent::EndedByFault:
-        gate.core.onEnded(id, event == peer::PlaceEvent::EndedByFault, made, now);
+    case peer::PlacementEvent::Ended:
+    case peer::PlacementEvent::EndedByFault:
+        gate.core.onEnded(id, event == peer::PlacementEvent::EndedByFault, made, now);
         break;
     }
     this->poll(gate);
 }
 
-void GateKeeper::report(const ServiceId &service, const RequestId &id, peer::PlaceEvent event, Tokens made)
+void GateKeeper::report(const ServiceId &service, const RequestId &id, peer::PlacementEvent event, Tokens made)
 {
     const auto found = this->locals.find(id);
     if (found == this->locals.end()) {
         return;
     }
     const auto local = found->second;
-    const bool isRetry = event == peer::PlaceEvent::Full || event == peer::PlaceEvent::Fault;
-    const bool isEnd = event == peer::PlaceEvent::Ended || event == peer::PlaceEvent::EndedByFault;
+    const bool isRetry = event == peer::PlacementEvent::Full || event == peer::PlacementEvent::Fault;
+    const bool isEnd = event == peer::PlacementEvent::Ended || event == peer::PlacementEvent::EndedByFault;
     if (isEnd) {
         this->locals.erase(found);
     }
     Gate &gate = this->gate(service);
     if (this->uplink) {
-        this->uplink(peer::PlaceReport{id, service, event, made});
+        this->uplink(peer::PlacementReport{id, service, event, made});
     }
-    if (event == peer::PlaceEvent::Reserved && this->uplink) {
+    if (event == peer::PlacementEvent::Reserved && this->uplink) {
         gate.core.adopt(local->ask, local->engine, local->since);
     } else {
         this->apply(gate, id, event, made);
@@ -279,7 +280,7 @@
     this->isHeld = false;
     this->uplink = std::move(send);
     if (this->uplink) {
-        peer::HeldPlaces held;
+        peer::HeldPlacements held;
         const Instant now = steadyNow();
         for (const auto &[id, local] : this->locals) {
             if (!local->engine.isEmpty()) {
@@ -317,7 +318,7 @@
     }
 }
 
-void GateKeeper::onTry(const peer::TryPlace &message)
+void GateKeeper::onTry(const peer::OfferPlacement &message)
 {
     const auto found = this->locals.find(message.request);
     if (found != this->locals.end() && found->second->isAtLeader) {
@@ -325,7 +326,7 @@
     }
 }
 
-void GateKeeper::onNone(const peer::NoPlace &message)
+void GateKeeper::onNone(const peer::RejectPlacement &message)
 {
     const auto found = this->locals.find(message.request);
     if (found != this->locals.end() && found->second->isAtLeader) {
@@ -335,11 +336,11 @@
 
 void GateKeeper::onChanging(const peer::EngineChanging &message)
 {
-    this->fleet.setChanging(EndpointId(message.engine.value()), steadyNow() + message.lasts);
+    this->fleet.setChanging(EndpointId(message.engine.value()), steadyNow() + message.duration);
     this->onFleetChanged();
 }
 
-void GateKeeper::onAsk(LinkId link, const Send &reply, const peer::AskPlace &message)
+void GateKeeper::onAsk(LinkId link, const Send &reply, const peer::RequestPlacement &message)
 {
     const Instant now = steadyNow();
     GenerationAsk ask;
@@ -347,7 +348,7 @@
     ask.rank = static_cast<int>(message.rank);
     ask.prompt = message.prompt;
     ask.output = message.output;
-    ask.mostOutput = message.mostOutput;
+    ask.mostOutput = message.maxOutput;
     ask.arrival = now - message.waited;
     ask.onTimeUntil = now + message.onTime;
     ask.usefulUntil = now + message.useful;
@@ -360,23 +361,23 @@
     this->poll(gate);
 }
 
-void GateKeeper::onReport(LinkId, const peer::PlaceReport &message)
+void GateKeeper::onReport(LinkId, const peer::PlacementReport &message)
 {
-    this->apply(this->gate(message.service), message.request, message.event, message.made);
-    if (message.event == peer::PlaceEvent::Ended || message.event == peer::PlaceEvent::EndedByFault) {
+    this->apply(this->gate(message.service), message.request, message.event, message.output);
+    if (message.event == peer::PlacementEvent::Ended || message.event == peer::PlacementEvent::EndedByFault) {
         this->remotes.erase(message.request);
     }
 }
 
-void GateKeeper::onHeld(LinkId link, const peer::HeldPlaces &message)
+void GateKeeper::onHeld(LinkId link, const peer::HeldPlacements &message)
 {
     const Instant now = steadyNow();
-    for (const peer::HeldPlace &place : message.places) {
+    for (const peer::HeldPlacement &place : message.places) {
         GenerationAsk ask;
         ask.id = place.request;
         ask.prompt = place.prompt;
         ask.output = place.output;
-        ask.mostOutput = place.mostOutput;
+        ask.mostOutput = place.maxOutput;
         this->remotes[ask.id] = Remote{link, place.service, {}};
         this->gate(place.service).core.adopt(ask, place.engine, now - place.age);
     }
--- a/programs/gateway/gatekeeper.h
+++ b/programs/gateway/gatekeeper.h
@@ -4,7 +4,7 @@
 //
 //     GateKeeper keeper(io, fleet, seed);
 //     const GateAction action = keeper.ask(service, ask, yield);     // waits until there is a place to try, or none
-//     keeper.report(service, id, peer::PlaceEvent::Full);            // the same generation asks again
+//     keeper.report(service, id, peer::PlacementEvent::Full);            // the same generation asks again
 //     const GateAction next = keeper.again(id, yield);
 //     keeper.setUplink([&](const peer::Message &message) { ... });   // the leader, or its deputy, is another host
 //     keeper.hold();                                                 // it was lost, and a deputy may take over soon
@@ -35,7 +35,7 @@
     // Waits for the next decision after a place that was full or failed.
     GateAction again(const RequestId &id, const asio::yield_context &yield);
     // What became of the place of a generation of this host.
-    void report(const ServiceId &service, const RequestId &id, peer::PlaceEvent event, Tokens made = Tokens(0));
+    void report(const ServiceId &service, const RequestId &id, peer::PlacementEvent event, Tokens made = Tokens(0));
     // The caller went: a wait ends at once.
     void wake(const RequestId &id);
     // Engines came, left or changed.
@@ -56,14 +56,14 @@
     void hold();
     // The part of the engines' memory that this host may fill.
     void setShare(double share);
-    void onTry(const peer::TryPlace &message);
-    void onNone(const peer::NoPlace &message);
+    void onTry(const peer::OfferPlacement &message);
+    void onNone(const peer::RejectPlacement &message);
     void onChanging(const peer::EngineChanging &message);
 
     // From a host that follows this one.
-    void onAsk(LinkId link, const Send &reply, const peer::AskPlace &message);
-    void onReport(LinkId link, const peer::PlaceReport &message);
-    void onHeld(LinkId link, const peer::HeldPlaces &message);
+    void onAsk(LinkId link, const Send &reply, const peer::RequestPlacement &message);
+    void onReport(LinkId link, const peer::PlacementReport &message);
+    void onHeld(LinkId link, const peer::HeldPlacements &message);
     void onFollowerLost(LinkId link);
 
 private:
@@ -106,7 +106,7 @@
     void deliver(const GateAction &action);
     void decide(Local &local, const GateAction &action);
     void submit(Local &local);
-    void apply(Gate &gate, const RequestId &id, peer::PlaceEvent event, Tokens made);
+    void apply(Gate &gate, const RequestId &id, peer::PlacementEvent event, Tokens made);
 
     asio::io_context &io;
     FleetView &fleet;
--- a/programs/gateway/gatewaymetrics.cpp
+++ b/programs/gateway/gatewaymetrics.cpp
@@ -112,7 +112,7 @@
     put("registry_age_seconds", seconds(now.registryAge));
     put("leading", now.isLeading ? 1 : 0);
     put("following", now.isFollowing ? 1 : 0);
-    put("log_lines_left_out", static_cast<double>(Log::leftOut()));
+    put("log_lines_left_out", static_cast<double>(Log::droppedLines()));
 }
 
 std::string GatewayMetrics::text() const
--- a/programs/gateway/gatewayprogram.cpp
+++ b/programs/gateway/gatewayprogram.cpp
@@ -106,7 +106,7 @@
 
 void Gateway::onChanging(const peer::EngineChanging &change)
 {
-    this->fleet.setChanging(EndpointId(change.engine.value()), steadyNow() + change.lasts);
+    this->fleet.setChanging(EndpointId(change.engine.value()), steadyNow() + change.duration);
     this->gates.onFleetChanged();
     if (this->links) {
         this->links->onNews({change, std::nullopt});
--- a/programs/gateway/generationforward.cpp
+++ b/programs/gateway/generationforward.cpp
@@ -46,7 +46,7 @@
     return Tokens(this->eventsMade * this->traits().perEvent.value());
 }
 
-void GenerationForward::report(peer::PlaceEvent event)
+void GenerationForward::report(peer::PlacementEvent event)
 {
     this->call.services.gates.report(this->call.service, this->call.head.id, event, this->made());
 }
@@ -96,15 +96,15 @@
         const HttpResponse response = services.client.call(
             decode.address, request, {services.settings.reservationLimit, Reuse::Never, &this->abort}, yield);
         if (const auto reservation = readReservation(response)) {
-            this->report(peer::PlaceEvent::Reserved);
+            this->report(peer::PlacementEvent::Reserved);
             return Place{decode, *reservation, {}};
         }
         this->lastFault = "no room at " + decode.id.value();
-        this->report(peer::PlaceEvent::Full);
+        this->report(peer::PlacementEvent::Full);
     } catch (const HttpError &error) {
         this->checkCaller(); // it ended the call, and the engine has no fault
         this->lastFault = error.what();
-        this->report(peer::PlaceEvent::Fault);
+        this->report(peer::PlacementEvent::Fault);
     }
     return std::nullopt;
 }
@@ -117,7 +117,7 @@
         this->checkCaller();
         const auto decode = services.fleet.usable(EndpointId(attempt->engine.value()));
         if (!decode) {
-            this->report(peer::PlaceEvent::Full);
+            this->report(peer::PlacementEvent::Full);
         } else if (auto place = this->reserveAt(*decode, yield)) {
             place->prefill = attempt->prefill;
             return place;
@@ -177,7 +177,7 @@
             this->checkCaller();
         }
         if (*chosen == place.prefill) {
-            this->report(result ? peer::PlaceEvent::Read : peer::PlaceEvent::ReadFailed);
+            this->report(result ? peer::PlacementEvent::Prefilled : peer::PlacementEvent::PrefillFailed);
         }
         if (result) {
             return result;
@@ -300,7 +300,7 @@
     const EngineId id(this->prefillEngine.value());
     this->call.services.fleet.prefills().onResultLost(id, steadyNow());
     if (id == place.prefill) {
-        this->report(peer::PlaceEvent::ResultLost);
+        this->report(peer::PlacementEvent::ResultLost);
     }
 }
 
@@ -328,7 +328,7 @@
             this->noteLostResult(*place);
         }
         const bool isFault = ended == Ended::Broken || (ended == Ended::NotRun && !isResultLost);
-        this->report(isFault ? peer::PlaceEvent::EndedByFault : peer::PlaceEvent::Ended);
+        this->report(isFault ? peer::PlacementEvent::EndedByFault : peer::PlacementEvent::Ended);
         if (ended == Ended::Broken) {
             this->avoid = EngineId(place->engine.id.value());
         }
@@ -434,11 +434,11 @@
             reason = this->claimRetry(ended);
         }
         this->noRetry = *reason;
-        this->report(peer::PlaceEvent::Ended);
+        this->report(peer::PlacementEvent::Ended);
         this->finish(ended, yield);
     } catch (const CallerGone &) {
         this->call.reply.onGone({});
-        this->report(peer::PlaceEvent::Ended);
+        this->report(peer::PlacementEvent::Ended);
         this->logEnd("caller_gone");
         throw;
     }
--- a/programs/gateway/generationforward.h
+++ b/programs/gateway/generationforward.h
@@ -54,7 +54,7 @@
     std::optional<NoRetry> claimRetry(Ended ended);
     GenerationAsk ask() const;
     PromptKey promptKey() const;
-    void report(peer::PlaceEvent event);
+    void report(peer::PlacementEvent event);
     Tokens made() const;
     const EngineTraits &traits() const;
     void checkCaller() const;
--- a/programs/gateway/leaderlink.cpp
+++ b/programs/gateway/leaderlink.cpp
@@ -170,7 +170,7 @@
 void LeaderLink::endPlacing()
 {
     for (const LinkId follower : this->placedFor) {
-        this->node->send(follower, peer::LeadEnded{});
+        this->node->send(follower, peer::LeadershipEnded{});
         this->gates.onFollowerLost(follower);
     }
     this->placedFor.clear();
@@ -188,7 +188,7 @@
 void LeaderLink::onNews(const store_update::News &news)
 {
     peer::Message message = news.message;
-    if (auto *config = std::get_if<peer::ConfigNews>(&message)) {
+    if (auto *config = std::get_if<peer::ConfigUpdate>(&message)) {
         if (config->change.size() * this->followers.size() > mostChangeFanOut) {
             config->change.clear();
         }
@@ -297,17 +297,17 @@
     const bool isFromLeader = this->leader && link == *this->leader;
     const bool isFromPlacer = isFromLeader || this->isDeputyLink(link);
     if (!isFromPlacer && !this->isLeading && !this->isStandingIn) {
-        this->node->send(link, peer::LeadEnded{});
+        this->node->send(link, peer::LeadershipEnded{});
         return;
     }
     const GateKeeper::Send reply = [this, link](const peer::Message &answer) {
         this->node->send(link, answer);
     };
     std::visit(
-        Overloaded{[&](const peer::TryPlace &place) { this->gates.onTry(place); },
-                   [&](const peer::NoPlace &none) { this->gates.onNone(none); },
-                   [&](const peer::RegistryNews &news) { this->store->onNews(news); },
-                   [&](const peer::ConfigNews &news) {
+        Overloaded{[&](const peer::OfferPlacement &place) { this->gates.onTry(place); },
+                   [&](const peer::RejectPlacement &none) { this->gates.onNone(none); },
+                   [&](const peer::RegistryUpdate &news) { this->store->onNews(news); },
+                   [&](const peer::ConfigUpdate &news) {
                        if (isFromLeader) {
                            this->store->onNews(news);
                        }
@@ -319,16 +319,16 @@
                    },
                    [&](const peer::EngineChanging &change) { this->gates.onChanging(change); },
                    [&](const peer::StoreLost &) { this->store->onLeaderLostStore(); },
-                   [&](const peer::LeadEnded &) {
+                   [&](const peer::LeadershipEnded &) {
                        if (isFromLeader) {
                            this->onLeader({});
                        } else {
                            this->route.onDeputyLost(steadyNow());
                        }
                    },
-                   [&](const peer::AskPlace &ask) { this->gates.onAsk(link, reply, ask); },
-                   [&](const peer::PlaceReport &report) { this->gates.onReport(link, report); },
-                   [&](const peer::HeldPlaces &held) {
+                   [&](const peer::RequestPlacement &ask) { this->gates.onAsk(link, reply, ask); },
+                   [&](const peer::PlacementReport &report) { this->gates.onReport(link, report); },
+                   [&](const peer::HeldPlacements &held) {
                        this->placedFor.insert(link);
                        this->gates.onHeld(link, held);
                    },
--- a/programs/gateway/recentrows.cpp
+++ b/programs/gateway/recentrows.cpp
@@ -33,10 +33,10 @@
     return version >= this->since && version <= this->newest;
 }
 
-peer::RegistryNews RecentRows::after(std::int64_t version) const
+peer::RegistryUpdate RecentRows::after(std::int64_t version) const
 {
     const auto first = static_cast<std::uint64_t>(version);
-    peer::RegistryNews news{first, static_cast<std::uint64_t>(this->newest), {}};
+    peer::RegistryUpdate news{first, static_cast<std::uint64_t>(this->newest), {}};
     for (const peer::RegistryRow &row : this->rows) {
         if (row.version > first) {
             news.rows.push_back(row);
--- a/programs/gateway/recentrows.h
+++ b/programs/gateway/recentrows.h
@@ -29,7 +29,7 @@
     void add(const std::vector<peer::RegistryRow> &rows, std::int64_t before, std::int64_t version);
     // Whether all that changed after that version is here; not for one that is too far behind, or ahead.
     bool reaches(std::int64_t version) const;
-    peer::RegistryNews after(std::int64_t version) const;
+    peer::RegistryUpdate after(std::int64_t version) const;
 
 private:
     std::deque<peer::RegistryRow> rows;
--- a/programs/gateway/storeduty.cpp
+++ b/programs/gateway/storeduty.cpp
@@ -310,7 +310,7 @@
     });
 }
 
-void StoreDuty::onNews(const peer::RegistryNews &news)
+void StoreDuty::onNews(const peer::RegistryUpdate &news)
 {
     asio::post(this->io, [this, news] {
         const std::int64_t has = this->registry.version.value_or(-1);
@@ -335,7 +335,7 @@
     });
 }
 
-void StoreDuty::onNews(const peer::ConfigNews &news)
+void StoreDuty::onNews(const peer::ConfigUpdate &news)
 {
     asio::post(this->io, [this, news] {
         const ConfigReplica::NewsOutcome outcome = this->replica.takeNews(news);
@@ -518,7 +518,7 @@
     return std::make_shared<const RoutingConfig>(std::move(*decoded));
 }
 
-peer::ConfigNews StoreDuty::configSummary() const
+peer::ConfigUpdate StoreDuty::configSummary() const
 {
     return {static_cast<std::uint64_t>(this->replica.row().value()), 0, {}};
 }
--- a/programs/gateway/storeduty.h
+++ b/programs/gateway/storeduty.h
@@ -91,8 +91,8 @@
     // This host stops: it leads no more.
     void release();
     // The leader hands on changes: this host reads the store itself only where the leader cannot.
-    void onNews(const peer::RegistryNews &news);
-    void onNews(const peer::ConfigNews &news);
+    void onNews(const peer::RegistryUpdate &news);
+    void onNews(const peer::ConfigUpdate &news);
     void onConfigDelayed();
     void onLeaderLostStore();
     // A host that follows this one has all up to a version.
@@ -153,7 +153,7 @@
     void takeRow(Table table, const StoreRow &row);
     void takeConfig(const StoreRow &row);
     std::shared_ptr<const RoutingConfig> decodeConfig(const StoreRow &row);
-    peer::ConfigNews configSummary() const;
+    peer::ConfigUpdate configSummary() const;
     void takeList(const std::vector<StoreRow> &rows);
     void handOn(const std::vector<StoreRow> &rows, std::int64_t before);
     void remember(const std::vector<StoreRow> &rows, std::int64_t before, bool isWhole);
--- a/programs/gateway/testing/configreplica_test.cpp
+++ b/programs/gateway/testing/configreplica_test.cpp
@@ -46,10 +46,10 @@
 }
 
 // What a leader that reads these rows one after the other sends to its followers.
-std::vector<peer::ConfigNews> newsOfLeader(const std::vector<std::pair<std::int64_t, Config>> &rows)
+std::vector<peer::ConfigUpdate> newsOfLeader(const std::vector<std::pair<std::int64_t, Config>> &rows)
 {
     ConfigReplica leader;
-    std::vector<peer::ConfigNews> sent;
+    std::vector<peer::ConfigUpdate> sent;
     for (const auto &[row, config] : rows) {
         if (const auto step = leader.takeRow(RowVersion(row), config)) {
             sent.push_back(newsOf(*step));
@@ -151,7 +151,7 @@
         const bool isReadable = *rc::gen::inRange(0, 8) > 0;
         rows[row] = isReadable ? configOf(number * 3, weights) : nullptr;
     }
-    std::vector<peer::ConfigNews> sent;
+    std::vector<peer::ConfigUpdate> sent;
     for (int leader = 0; leader < 2; ++leader) {
         ConfigReplica replica;
         for (const auto &[version, config] : rows) {
@@ -159,7 +159,7 @@
                 continue;
             }
             const auto step = replica.takeRow(RowVersion(version), config);
-            sent.push_back(step ? newsOf(*step) : peer::ConfigNews{static_cast<std::uint64_t>(version), 0, {}});
+            sent.push_back(step ? newsOf(*step) : peer::ConfigUpdate{static_cast<std::uint64_t>(version), 0, {}});
         }
     }
     ConfigReplica follower;
@@ -183,7 +183,7 @@
         check();
     }
     const auto &last = *rows.rbegin();
-    const peer::ConfigNews lastNews{static_cast<std::uint64_t>(last.first), 0, {}};
+    const peer::ConfigUpdate lastNews{static_cast<std::uint64_t>(last.first), 0, {}};
     if (follower.takeNews(lastNews) == ConfigReplica::NewsOutcome::RowNeeded) {
         follower.takeRow(RowVersion(last.first), last.second);
     }
--- a/programs/scheduler/cellboard.cpp
+++ b/programs/scheduler/cellboard.cpp
@@ -66,7 +66,7 @@
     return near ? near : cellOwner(cell, liveHostsOf(membership));
 }
 
-void fill(peer::CellNews &news, const Fact &fact)
+void fill(peer::CellUpdate &news, const Fact &fact)
 {
     const auto summary = CellBoard::decode(fact.bytes);
     if (!summary) {
@@ -88,7 +88,7 @@
     const auto facts = factsOf(membership);
     CellBoard board;
     for (const CellId &cell : cellsOf(declaration)) {
-        peer::CellNews news;
+        peer::CellUpdate news;
         news.cell = cell;
         const auto owner = ownerOf(cell, membership);
         if (owner) {
@@ -105,7 +105,7 @@
     return board;
 }
 
-const std::vector<peer::CellNews> &CellBoard::news() const
+const std::vector<peer::CellUpdate> &CellBoard::news() const
 {
     return this->cells;
 }
@@ -113,7 +113,7 @@
 std::set<CellId> CellBoard::ownedBy(const HostId &host) const
 {
     std::set<CellId> owned;
-    for (const peer::CellNews &news : this->cells) {
+    for (const peer::CellUpdate &news : this->cells) {
         if (news.owner == host) {
             owned.insert(news.cell);
         }
--- a/programs/scheduler/cellboard.h
+++ b/programs/scheduler/cellboard.h
@@ -24,7 +24,7 @@
 public:
     static CellBoard build(const Declaration &declaration, const Membership &membership);
 
-    const std::vector<peer::CellNews> &news() const;
+    const std::vector<peer::CellUpdate> &news() const;
     std::set<CellId> ownedBy(const HostId &host) const;
 
     static std::string factName(const CellId &cell);
@@ -32,7 +32,7 @@
     static tl::expected<CellSummary, WireError> decode(const std::string &bytes);
 
 private:
-    std::vector<peer::CellNews> cells;
+    std::vector<peer::CellUpdate> cells;
 };
 
 // Every cell that the declaration's engines make, whatever their state.
--- a/programs/scheduler/peerduty.h
+++ b/programs/scheduler/peerduty.h
@@ -53,7 +53,7 @@
     bool isDeclarationMalformed = false; // a higher one is known and cannot be read
     ConfigService service = ConfigService::Learning;
     std::vector<MemberInfo> members;
-    std::vector<peer::CellNews> cells;
+    std::vector<peer::CellUpdate> cells;
     std::size_t owned = 0;
     std::size_t links = 0;
     std::size_t followers = 0; // entries that take their news here
--- a/programs/scheduler/schedulerprogram.cpp
+++ b/programs/scheduler/schedulerprogram.cpp
@@ -62,7 +62,7 @@
             throw WireError(made.error());
         }
         this->peers = std::move(*made);
-        tellOpenPorts(this->settings.keys, this->degraded);
+        reportOpenPorts(this->settings.keys, this->degraded);
         this->openAdmin();
         this->decisions.start();
         this->engines.start();
--- a/programs/scheduler/schedulerstatus.cpp
+++ b/programs/scheduler/schedulerstatus.cpp
@@ -78,7 +78,7 @@
 Json allOwners(const PeerStatus &peers)
 {
     Json owners = Json::array();
-    for (const peer::CellNews &cell : peers.cells) {
+    for (const peer::CellUpdate &cell : peers.cells) {
         owners.push_back({{"model", cell.cell.model.value()},
                           {"data_centre", cell.cell.dataCentre.value()},
                           {"owner", cell.owner.value()}});
--- a/testing/slopes/links.cpp
+++ b/testing/slopes/links.cpp
@@ -25,7 +25,7 @@
 {
     peer::AllCells all;
     for (int i = 0; i < count; ++i) {
-        peer::CellNews news;
+        peer::CellUpdate news;
         news.cell = {ModelId(fmt::format("model-{}", i / dataCentres)),
                      DataCentreId(fmt::format("dc-{}", i % dataCentres))};
         news.owner = HostId(fmt::format("host-{:03}", i));
--- a/wire/linkguard.cpp
+++ b/wire/linkguard.cpp
@@ -9,7 +9,7 @@
 #include <openssl/rand.h>
 
 // Failure: somebody without the key opens connections and says nothing. It shows as a node whose places are all taken,
-// so that no host gets a link. A connection that has proved nothing ends after proofLimit, and past mostUnproven the
+// so that no host gets a link. A connection that has proved nothing ends after proofLimit, and past maxUnproven the
 // oldest one ends at once: an honest peer is through in milliseconds, and refusing new ones instead would hand the
 // places to whoever took them first.
 //
@@ -131,7 +131,7 @@
             ++accepted;
         }
     }
-    return accepted > this->options.mostUnproven ? oldest : std::nullopt;
+    return accepted > this->options.maxUnproven ? oldest : std::nullopt;
 }
 
 std::vector<LinkId> LinkGuard::overdue(Instant now)
--- a/wire/linkguard.h
+++ b/wire/linkguard.h
@@ -32,7 +32,7 @@
         Duration proofLimit = 2s;
         // Accepted and not proven; each holds some 20 KB. All 340 hosts of a fleet opening a link at once take
         // milliseconds each.
-        std::size_t mostUnproven = 256;
+        std::size_t maxUnproven = 256;
     };
 
     enum class Side {
--- a/wire/log.cpp
+++ b/wire/log.cpp
@@ -188,7 +188,7 @@
     state().logger->flush_on(spdlog::level::info);
 }
 
-std::size_t Log::leftOut()
+std::size_t Log::droppedLines()
 {
     return state().writer ? state().writer->overrun_counter() : 0;
 }
--- a/wire/log.h
+++ b/wire/log.h
@@ -49,7 +49,7 @@
     // `host` is named in each line where it is given.
     static void open(std::string process, LogLevel least, const std::string &host = {});
     // Lines left out since the start.
-    static std::size_t leftOut();
+    static std::size_t droppedLines();
     // Writes out what is queued. At the end of a process.
     static void close();
 
--- a/wire/messagefields.h
+++ b/wire/messagefields.h
@@ -144,9 +144,9 @@
     {
         fault = this->enumerator(DecodeFault::Unreachable);
     }
-    void operator()(PlaceEvent &event)
+    void operator()(PlacementEvent &event)
     {
-        event = this->enumerator(PlaceEvent::EndedByFault);
+        event = this->enumerator(PlacementEvent::EndedByFault);
     }
     void operator()(CellId &cell)
     {
--- a/wire/messages.cpp
+++ b/wire/messages.cpp
@@ -145,7 +145,7 @@
 }
 
 template<typename Visitor>
-void fields(Visitor &visit, CellNews &m)
+void fields(Visitor &visit, CellUpdate &m)
 {
     visit(m.cell);
     visit(m.owner);
@@ -171,14 +171,14 @@
 }
 
 template<typename Visitor>
-void fields(Visitor &visit, AskPlace &m)
+void fields(Visitor &visit, RequestPlacement &m)
 {
     visit(m.request);
     visit(m.service);
     visit(m.rank);
     visit(m.prompt);
     visit(m.output);
-    visit(m.mostOutput);
+    visit(m.maxOutput);
     visit(m.waited);
     visit(m.onTime);
     visit(m.useful);
@@ -188,7 +188,7 @@
 }
 
 template<typename Visitor>
-void fields(Visitor &visit, TryPlace &m)
+void fields(Visitor &visit, OfferPlacement &m)
 {
     visit(m.request);
     visit(m.engine);
@@ -196,35 +196,35 @@
 }
 
 template<typename Visitor>
-void fields(Visitor &visit, NoPlace &m)
+void fields(Visitor &visit, RejectPlacement &m)
 {
     visit(m.request);
     visit(m.retryAfter);
 }
 
 template<typename Visitor>
-void fields(Visitor &visit, PlaceReport &m)
+void fields(Visitor &visit, PlacementReport &m)
 {
     visit(m.request);
     visit(m.service);
     visit(m.event);
-    visit(m.made);
+    visit(m.output);
 }
 
 template<typename Visitor>
-void fields(Visitor &visit, HeldPlace &m)
+void fields(Visitor &visit, HeldPlacement &m)
 {
     visit(m.request);
     visit(m.service);
     visit(m.engine);
     visit(m.prompt);
     visit(m.output);
-    visit(m.mostOutput);
+    visit(m.maxOutput);
     visit(m.age);
 }
 
 template<typename Visitor>
-void fields(Visitor &visit, HeldPlaces &m)
+void fields(Visitor &visit, HeldPlacements &m)
 {
     visit(m.places);
 }
@@ -245,7 +245,7 @@
 }
 
 template<typename Visitor>
-void fields(Visitor &visit, RegistryNews &m)
+void fields(Visitor &visit, RegistryUpdate &m)
 {
     visit(m.after);
     visit(m.version);
@@ -253,7 +253,7 @@
 }
 
 template<typename Visitor>
-void fields(Visitor &visit, ConfigNews &m)
+void fields(Visitor &visit, ConfigUpdate &m)
 {
     visit(m.rowVersion);
     visit(m.after);
@@ -269,7 +269,7 @@
 void fields(Visitor &visit, EngineChanging &m)
 {
     visit(m.engine);
-    visit(m.lasts);
+    visit(m.duration);
 }
 
 template<typename Visitor>
@@ -291,7 +291,7 @@
 }
 
 template<typename Visitor>
-void fields(Visitor & /*visit*/, LeadEnded & /*m*/)
+void fields(Visitor & /*visit*/, LeadershipEnded & /*m*/)
 {
 }
 
--- a/wire/messages.h
+++ b/wire/messages.h
@@ -144,7 +144,7 @@
 };
 
 // What an entry needs to choose a cell and to place in it without its owner.
-struct CellNews {
+struct CellUpdate {
     CellId cell;
     HostId owner;
     std::string ownerAddress;
@@ -157,7 +157,7 @@
 };
 
 struct AllCells {
-    std::vector<CellNews> cells;
+    std::vector<CellUpdate> cells;
 };
 
 // An entry asks a scheduler for its news (ConfigInForce, LiveHosts, AllCells: now, on every change, each second), or
@@ -168,13 +168,13 @@
 
 // A gateway to the leader: find a decode engine for this generation. `onTime` and `useful`: how much longer a place
 // meets the target, or is of any use.
-struct AskPlace {
+struct RequestPlacement {
     RequestId request;
     ServiceId service;
     std::uint64_t rank = 0;
     Tokens prompt;
     Tokens output; // the caller's estimate
-    Tokens mostOutput;
+    Tokens maxOutput;
     Duration waited{0}; // since its first ask
     Duration onTime{0};
     Duration useful{0};
@@ -184,50 +184,50 @@
 };
 
 // The leader to a gateway: ask this engine for a reservation.
-struct TryPlace {
+struct OfferPlacement {
     RequestId request;
     EngineId engine;
     EngineId prefill; // reads the prompt; none where empty
 };
 
 // The leader to a gateway: there is no place in time.
-struct NoPlace {
+struct RejectPlacement {
     RequestId request;
     Duration retryAfter{0};
 };
 
-enum class PlaceEvent {
+enum class PlacementEvent {
     Reserved,
-    Read, // by the prefill engine that the leader named
-    ReadFailed,
+    Prefilled, // by the prefill engine that the leader named
+    PrefillFailed,
     ResultLost, // the decode engine could not get the result from the prefill engine
-    Full, // the engine has no room; another AskPlace follows
-    Fault, // the engine did not answer; another AskPlace follows
+    Full, // the engine has no room; another RequestPlacement follows
+    Fault, // the engine did not answer; another RequestPlacement follows
     Ended,
     EndedByFault,
 };
 
 // A gateway to the leader: what became of a place.
-struct PlaceReport {
+struct PlacementReport {
     RequestId request;
     ServiceId service;
-    PlaceEvent event = PlaceEvent::Ended;
-    Tokens made; // output, of one that ended
+    PlacementEvent event = PlacementEvent::Ended;
+    Tokens output; // output, of one that ended
 };
 
 // One generation that runs, said to a new leader.
-struct HeldPlace {
+struct HeldPlacement {
     RequestId request;
     ServiceId service;
     EngineId engine;
     Tokens prompt;
     Tokens output; // the caller's estimate
-    Tokens mostOutput;
+    Tokens maxOutput;
     Duration age{0};
 };
 
-struct HeldPlaces {
-    std::vector<HeldPlace> places;
+struct HeldPlacements {
+    std::vector<HeldPlacement> places;
 };
 
 // A gateway to the leader: hand on what changes in the store after this version. One that is newer than the leader's
@@ -244,7 +244,7 @@
 };
 
 // The leader to a gateway: the rows of the registry that changed after one version of the store and up to another.
-struct RegistryNews {
+struct RegistryUpdate {
     std::uint64_t after = 0;
     std::uint64_t version = 0;
     std::vector<RegistryRow> rows;
@@ -253,7 +253,7 @@
 // The leader to a gateway: the configuration's row has this version. Where there is no change with it, or the gateway
 // has another row than the change is based on, the row is read from the store, which has more room on its links than
 // the leader.
-struct ConfigNews {
+struct ConfigUpdate {
     std::uint64_t rowVersion = 0;
     std::uint64_t after = 0; // the row that the change is based on
     std::string change; // encodeRoutingChange(), or empty
@@ -266,7 +266,7 @@
 // The leader to a gateway: this engine is ordered to change its stage and takes no work for so long.
 struct EngineChanging {
     EngineId engine;
-    Duration lasts{0};
+    Duration duration{0};
 };
 
 // The leader to a gateway: it cannot read the store.
@@ -274,7 +274,7 @@
 };
 
 // The leader to a gateway: it does not lead any more.
-struct LeadEnded {
+struct LeadershipEnded {
 };
 
 // A gateway to the leader, when the link has opened: where others reach it.
@@ -290,9 +290,9 @@
 
 using Message =
     std::variant<Hello, Submit, Placed, StartDecode, Refused, PrefillDone, PrefillFailed, OutputProgress, DecodeFailed,
-                 Finished, Holding, ConfigInForce, FetchConfig, LiveHosts, AllCells, Follow, AskPlace, TryPlace,
-                 NoPlace, PlaceReport, HeldPlaces, FollowStore, RegistryNews, ConfigNews, EngineChanging, StoreLost,
-                 LeadEnded, FollowerAddress, DeputyNamed, ConfigDelayed>;
+                 Finished, Holding, ConfigInForce, FetchConfig, LiveHosts, AllCells, Follow, RequestPlacement,
+                 OfferPlacement, RejectPlacement, PlacementReport, HeldPlacements, FollowStore, RegistryUpdate,
+                 ConfigUpdate, EngineChanging, StoreLost, LeadershipEnded, FollowerAddress, DeputyNamed, ConfigDelayed>;
 
 std::string encodeMessage(const Message &message);
 tl::expected<Message, WireError> decodeMessage(std::string_view bytes);
--- a/wire/openports.cpp
+++ b/wire/openports.cpp
@@ -5,7 +5,7 @@
 namespace fescuesill
 {
 
-void tellOpenPorts(const KeySettings &keys, DegradedModes &modes)
+void reportOpenPorts(const KeySettings &keys, DegradedModes &modes)
 {
     if (keys.arePeersOpen) {
         modes.set("peers_open", true);
--- a/wire/openports.h
+++ b/wire/openports.h
@@ -2,7 +2,7 @@
 
 // Says in the log and in /status which ports of a process ask nobody for a key.
 //
-//     tellOpenPorts(settings.keys, modes);     // once, at the start
+//     reportOpenPorts(settings.keys, modes);     // once, at the start
 
 #include "declare/keysettings.h"
 #include "wire/degradedmodes.h"
@@ -10,6 +10,6 @@
 namespace fescuesill
 {
 
-void tellOpenPorts(const KeySettings &keys, DegradedModes &modes);
+void reportOpenPorts(const KeySettings &keys, DegradedModes &modes);
 
 } // namespace fescuesill
--- a/wire/testing/keys_test.cpp
+++ b/wire/testing/keys_test.cpp
@@ -103,7 +103,7 @@
 TEST(Keys, TheOldestUnprovenLinkGivesWay)
 {
     LinkGuard::Options options;
-    options.mostUnproven = 2;
+    options.maxUnproven = 2;
     LinkGuard guard(*ringOf("a"), {HostId("b"), "10.0.0.2:8090"}, options);
     const Instant now(1000s);
     const auto accept = [&](std::uint64_t id) {
--- a/wire/testing/messages_placing_test.cpp
+++ b/wire/testing/messages_placing_test.cpp
@@ -17,32 +17,33 @@
 
 TEST(PlacingMessages, ArriveAsTheyWereSent)
 {
-    const AskPlace ask = passedOn(AskPlace{RequestId("r"), ServiceId("s"), 2, Tokens(5200), Tokens(3500), Tokens(6500),
-                                           40ms, -10ms, 3s, DataCentreId("a"), EngineId("d1"), "a41f"});
-    EXPECT_EQ(ask.mostOutput, Tokens(6500));
+    const RequestPlacement ask =
+        passedOn(RequestPlacement{RequestId("r"), ServiceId("s"), 2, Tokens(5200), Tokens(3500), Tokens(6500), 40ms,
+                                  -10ms, 3s, DataCentreId("a"), EngineId("d1"), "a41f"});
+    EXPECT_EQ(ask.maxOutput, Tokens(6500));
     EXPECT_EQ(ask.onTime, -10ms);
     EXPECT_EQ(ask.avoid, EngineId("d1"));
     EXPECT_EQ(ask.promptName, "a41f");
-    const PlaceReport report =
-        passedOn(PlaceReport{RequestId("r"), ServiceId("s"), PlaceEvent::EndedByFault, Tokens(7)});
-    EXPECT_EQ(report.event, PlaceEvent::EndedByFault);
-    const HeldPlaces held =
-        passedOn(HeldPlaces{{{RequestId("r"), ServiceId("s"), EngineId("d"), Tokens(1), Tokens(2), Tokens(3), 4s}}});
+    const PlacementReport report =
+        passedOn(PlacementReport{RequestId("r"), ServiceId("s"), PlacementEvent::EndedByFault, Tokens(7)});
+    EXPECT_EQ(report.event, PlacementEvent::EndedByFault);
+    const HeldPlacements held = passedOn(
+        HeldPlacements{{{RequestId("r"), ServiceId("s"), EngineId("d"), Tokens(1), Tokens(2), Tokens(3), 4s}}});
     ASSERT_EQ(held.places.size(), 1U);
     EXPECT_EQ(held.places[0].age, 4s);
-    EXPECT_EQ(passedOn(NoPlace{RequestId("r"), 700ms}).retryAfter, 700ms);
-    const TryPlace place = passedOn(TryPlace{RequestId("r"), EngineId("d"), EngineId("p")});
+    EXPECT_EQ(passedOn(RejectPlacement{RequestId("r"), 700ms}).retryAfter, 700ms);
+    const OfferPlacement place = passedOn(OfferPlacement{RequestId("r"), EngineId("d"), EngineId("p")});
     EXPECT_EQ(place.engine, EngineId("d"));
     EXPECT_EQ(place.prefill, EngineId("p"));
-    EXPECT_EQ(passedOn(EngineChanging{EngineId("d"), 8s}).lasts, 8s);
-    const ConfigNews config = passedOn(ConfigNews{41, 38, std::string("\xff\x00{", 3)});
+    EXPECT_EQ(passedOn(EngineChanging{EngineId("d"), 8s}).duration, 8s);
+    const ConfigUpdate config = passedOn(ConfigUpdate{41, 38, std::string("\xff\x00{", 3)});
     EXPECT_EQ(config.rowVersion, 41U);
     EXPECT_EQ(config.after, 38U);
     EXPECT_EQ(config.change, std::string("\xff\x00{", 3));
     EXPECT_EQ(passedOn(FollowStore{7}).version, 7U);
     passedOn(ConfigDelayed{});
     passedOn(StoreLost{});
-    passedOn(LeadEnded{});
+    passedOn(LeadershipEnded{});
     EXPECT_EQ(passedOn(FollowerAddress{"10.0.0.1:1"}).address, "10.0.0.1:1");
     EXPECT_EQ(passedOn(DeputyNamed{"10.0.0.2:1", 9}).hosts, 9U);
 }
@@ -51,7 +52,7 @@
 TEST(PlacingMessages, CarryAnyBytesOfARow)
 {
     const std::string bytes("\xff\x00\x80{", 4);
-    const RegistryNews news = passedOn(RegistryNews{4, 9, {{5, "k", bytes, false}, {9, "gone", "", true}}});
+    const RegistryUpdate news = passedOn(RegistryUpdate{4, 9, {{5, "k", bytes, false}, {9, "gone", "", true}}});
     ASSERT_EQ(news.rows.size(), 2U);
     EXPECT_EQ(news.rows[0].value, bytes);
     EXPECT_TRUE(news.rows[1].isRemoved);
--- a/wire/testing/messages_test.cpp
+++ b/wire/testing/messages_test.cpp
@@ -29,7 +29,7 @@
         ConfigInForce{"record", true},
         FetchConfig{},
         LiveHosts{{LiveHost{HostId("h"), DataCentreId("d"), "127.0.0.1:3", true}}},
-        AllCells{{CellNews{someCell, HostId("h"), "127.0.0.1:3", 12ms, 75us, 0.25, Pieces(5), false, 7}}},
+        AllCells{{CellUpdate{someCell, HostId("h"), "127.0.0.1:3", 12ms, 75us, 0.25, Pieces(5), false, 7}}},
         Follow{false},
     };
 }
