--- a/programs/gateway/configreplica.cpp
+++ b/programs/gateway/configreplica.cpp
@@ -30,9 +30,9 @@
 
 } // namespace
 
-peer::ConfigNews updateOf(const ConfigStep &step)
+peer::ConfigUpdate updateOf(const ConfigStep &step)
 {
-    peer::ConfigNews update{numberOf(step.row), numberOf(step.beforeRow), {}};
+    peer::ConfigUpdate update{numberOf(step.row), numberOf(step.beforeRow), {}};
     if (step.before) {
         const RoutingChange change = changeBetween(*step.before, *step.config);
         if (change.set.size() + change.removed.size() <= mostChangedRoutes) {
@@ -60,7 +60,7 @@
     return step;
 }
 
-ConfigReplica::UpdateOutcome ConfigReplica::takeUpdate(const peer::ConfigNews &update)
+ConfigReplica::UpdateOutcome ConfigReplica::takeUpdate(const peer::ConfigUpdate &update)
 {
     const RowVersion row = rowOf(update.rowVersion);
     if (row <= this->newestRow) {
--- a/programs/gateway/configreplica.h
+++ b/programs/gateway/configreplica.h
@@ -28,7 +28,7 @@
 };
 
 // The message for followers: the row's version, and the change from the previous row if that is small.
-peer::ConfigNews updateOf(const ConfigStep &step);
+peer::ConfigUpdate updateOf(const ConfigStep &step);
 
 class ConfigReplica
 {
@@ -44,7 +44,7 @@
     // Takes a row that was read; `decoded` is null if the row could not be decoded. Returns nothing if the row is not
     // newer than the last one or could not be decoded.
     std::optional<ConfigStep> takeRow(RowVersion row, std::shared_ptr<const RoutingConfig> decoded);
-    UpdateOutcome takeUpdate(const peer::ConfigNews &update);
+    UpdateOutcome takeUpdate(const peer::ConfigUpdate &update);
 
     const std::shared_ptr<const RoutingConfig> &config() const
     {
--- a/programs/gateway/gatewayprogram.cpp
+++ b/programs/gateway/gatewayprogram.cpp
@@ -108,7 +108,7 @@
 
 void Gateway::onChanging(const peer::EngineChanging &change)
 {
-    this->fleet.setChanging(EndpointId(change.engine.value()), steadyNow() + change.lasts);
+    this->fleet.setChanging(EndpointId(change.engine.value()), steadyNow() + change.duration);
     this->gates.onFleetChanged();
     if (this->links) {
         this->links->onUpdate({change, std::nullopt});
--- a/programs/gateway/generationforward.cpp
+++ b/programs/gateway/generationforward.cpp
@@ -48,7 +48,7 @@
     return Tokens(this->eventsProduced * this->traits().perEvent.value());
 }
 
-void GenerationForward::report(peer::PlaceEvent event)
+void GenerationForward::report(peer::PlacementEvent event)
 {
     this->call.services.gates.report(this->call.service, this->call.head.id, event, this->outputTokens());
 }
@@ -99,15 +99,15 @@
         const HttpResponse response = services.client.call(
             decode.address, request, {services.settings.reservationLimit, Reuse::Never, &this->abort}, yield);
         if (const auto reservation = readReservation(response)) {
-            this->report(peer::PlaceEvent::Reserved);
+            this->report(peer::PlacementEvent::Reserved);
             return Place{decode, *reservation, {}};
         }
         this->lastFault = "no room at " + decode.id.value();
-        this->report(peer::PlaceEvent::Full);
+        this->report(peer::PlacementEvent::Full);
     } catch (const HttpError &error) {
         this->checkCaller(); // if the caller cancelled the call, the engine is not at fault
         this->lastFault = error.what();
-        this->report(peer::PlaceEvent::Fault);
+        this->report(peer::PlacementEvent::Fault);
     }
     return std::nullopt;
 }
@@ -120,7 +120,7 @@
         this->checkCaller();
         const auto decode = services.fleet.usable(EndpointId(attempt->engine.value()));
         if (!decode) {
-            this->report(peer::PlaceEvent::Full);
+            this->report(peer::PlacementEvent::Full);
         } else if (auto place = this->reserveAt(*decode, yield)) {
             place->prefill = attempt->prefill;
             return place;
@@ -181,7 +181,7 @@
             this->checkCaller();
         }
         if (*chosen == place.prefill) {
-            this->report(result ? peer::PlaceEvent::Read : peer::PlaceEvent::ReadFailed);
+            this->report(result ? peer::PlacementEvent::Prefilled : peer::PlacementEvent::PrefillFailed);
         }
         if (result) {
             return result;
@@ -304,7 +304,7 @@
     const EngineId id(this->prefillEngine.value());
     this->call.services.fleet.prefills().onResultLost(id, steadyNow());
     if (id == place.prefill) {
-        this->report(peer::PlaceEvent::ResultLost);
+        this->report(peer::PlacementEvent::ResultLost);
     }
 }
 
@@ -332,7 +332,7 @@
             this->reportLostResult(*place);
         }
         const bool isFault = ended == Outcome::Broken || (ended == Outcome::NotRun && !isResultLost);
-        this->report(isFault ? peer::PlaceEvent::EndedByFault : peer::PlaceEvent::Ended);
+        this->report(isFault ? peer::PlacementEvent::EndedByFault : peer::PlacementEvent::Ended);
         if (ended == Outcome::Broken) {
             this->avoid = EngineId(place->engine.id.value());
         }
@@ -438,11 +438,11 @@
             reason = this->claimRetry(ended);
         }
         this->noRetry = *reason;
-        this->report(peer::PlaceEvent::Ended);
+        this->report(peer::PlacementEvent::Ended);
         this->finish(ended, yield);
     } catch (const CallerGone &) {
         this->call.reply.onGone({});
-        this->report(peer::PlaceEvent::Ended);
+        this->report(peer::PlacementEvent::Ended);
         this->logEnd("caller_gone");
         throw;
     }
--- a/programs/gateway/generationforward.h
+++ b/programs/gateway/generationforward.h
@@ -55,7 +55,7 @@
     std::optional<NoRetry> claimRetry(Outcome ended);
     GenerationRequest placementRequest() const;
     PromptKey promptKey() const;
-    void report(peer::PlaceEvent event);
+    void report(peer::PlacementEvent event);
     Tokens outputTokens() const;
     const EngineTraits &traits() const;
     void checkCaller() const;
--- a/programs/gateway/leaderlink.cpp
+++ b/programs/gateway/leaderlink.cpp
@@ -172,7 +172,7 @@
 void LeaderLink::endPlacing()
 {
     for (const LinkId follower : this->placementClients) {
-        this->node->send(follower, peer::LeadEnded{});
+        this->node->send(follower, peer::LeadershipEnded{});
         this->gates.onFollowerLost(follower);
     }
     this->placementClients.clear();
@@ -190,7 +190,7 @@
 void LeaderLink::onUpdate(const store_update::PeerUpdate &update)
 {
     peer::Message message = update.message;
-    if (auto *config = std::get_if<peer::ConfigNews>(&message)) {
+    if (auto *config = std::get_if<peer::ConfigUpdate>(&message)) {
         if (config->change.size() * this->followers.size() > maxChangeFanOutBytes) {
             config->change.clear();
         }
@@ -300,57 +300,58 @@
     const bool isFromLeader = this->leader && link == *this->leader;
     const bool isFromPlacer = isFromLeader || this->isDeputyLink(link);
     if (!isFromPlacer && !this->isLeading && !this->isActing) {
-        this->node->send(link, peer::LeadEnded{});
+        this->node->send(link, peer::LeadershipEnded{});
         return;
     }
     const PlacementGates::Send reply = [this, link](const peer::Message &answer) {
         this->node->send(link, answer);
     };
     std::visit(
-        Overloaded{[&](const peer::TryPlace &place) { this->gates.onPlacementOffered(place); },
-                   [&](const peer::NoPlace &none) { this->gates.onPlacementRejected(none); },
-                   [&](const peer::RegistryNews &update) { this->store->onUpdate(update); },
-                   [&](const peer::ConfigNews &update) {
-                       if (isFromLeader) {
-                           this->store->onUpdate(update);
-                       }
-                   },
-                   [&](const peer::ConfigDelayed &) {
-                       if (isFromLeader) {
-                           this->store->onConfigDelayed();
-                       }
-                   },
-                   [&](const peer::EngineChanging &change) { this->gates.onChanging(change); },
-                   [&](const peer::StoreLost &) { this->store->onLeaderLostStore(); },
-                   [&](const peer::LeadEnded &) {
-                       if (isFromLeader) {
-                           this->onLeader({});
-                       } else {
-                           this->route.onDeputyLost(steadyNow());
-                       }
-                   },
-                   [&](const peer::AskPlace &request) { this->gates.onPlacementRequested(link, reply, request); },
-                   [&](const peer::PlaceReport &report) { this->gates.onPlacementReport(link, report); },
-                   [&](const peer::HeldPlaces &held) {
-                       this->placementClients.insert(link);
-                       this->gates.onHeldPlacements(link, held);
-                   },
-                   [&](const peer::FollowerAddress &follower) { this->onFollowerAddress(link, follower.address); },
-                   [&](const peer::DeputyNamed &named) {
-                       this->hosts = std::max<std::uint64_t>(1, named.hosts);
-                       if (isFromLeader) {
-                           this->route.onDeputyNamed(named.address);
-                       } else {
-                           this->route.onNextDeputyNamed(named.address);
-                       }
-                   },
-                   [&](const peer::FollowStore &follow) {
-                       this->followers.insert(link);
-                       this->store->addFollower(link, follow.version);
-                   },
-                   [&](const auto &) {
-                       Log::warning("link_message_unexpected");
-                   }},
+        Overloaded{
+            [&](const peer::OfferPlacement &place) { this->gates.onPlacementOffered(place); },
+            [&](const peer::RejectPlacement &none) { this->gates.onPlacementRejected(none); },
+            [&](const peer::RegistryUpdate &update) { this->store->onUpdate(update); },
+            [&](const peer::ConfigUpdate &update) {
+                if (isFromLeader) {
+                    this->store->onUpdate(update);
+                }
+            },
+            [&](const peer::ConfigDelayed &) {
+                if (isFromLeader) {
+                    this->store->onConfigDelayed();
+                }
+            },
+            [&](const peer::EngineChanging &change) { this->gates.onChanging(change); },
+            [&](const peer::StoreLost &) { this->store->onLeaderLostStore(); },
+            [&](const peer::LeadershipEnded &) {
+                if (isFromLeader) {
+                    this->onLeader({});
+                } else {
+                    this->route.onDeputyLost(steadyNow());
+                }
+            },
+            [&](const peer::RequestPlacement &request) { this->gates.onPlacementRequested(link, reply, request); },
+            [&](const peer::PlacementReport &report) { this->gates.onPlacementReport(link, report); },
+            [&](const peer::HeldPlacements &held) {
+                this->placementClients.insert(link);
+                this->gates.onHeldPlacements(link, held);
+            },
+            [&](const peer::FollowerAddress &follower) { this->onFollowerAddress(link, follower.address); },
+            [&](const peer::DeputyNamed &named) {
+                this->hosts = std::max<std::uint64_t>(1, named.hosts);
+                if (isFromLeader) {
+                    this->route.onDeputyNamed(named.address);
+                } else {
+                    this->route.onNextDeputyNamed(named.address);
+                }
+            },
+            [&](const peer::FollowStore &follow) {
+                this->followers.insert(link);
+                this->store->addFollower(link, follow.version);
+            },
+            [&](const auto &) {
+                Log::warning("link_message_unexpected");
+            }},
         message);
 }
 
--- a/programs/gateway/placementgates.cpp
+++ b/programs/gateway/placementgates.cpp
@@ -159,10 +159,10 @@
     }
     const Send reply = remote->second.reply;
     if (const auto *place = std::get_if<TryReserve>(&action)) {
-        reply(peer::TryPlace{id, place->engine, place->prefill});
+        reply(peer::OfferPlacement{id, place->engine, place->prefill});
         return;
     }
-    reply(peer::NoPlace{id, std::get<RejectGeneration>(action).retryAfter});
+    reply(peer::RejectPlacement{id, std::get<RejectGeneration>(action).retryAfter});
     this->remoteGenerations.erase(remote);
 }
 
@@ -180,10 +180,10 @@
         this->poll(gate);
         return;
     }
-    this->uplink(peer::AskPlace{request.id, local.service, static_cast<std::uint64_t>(std::max(0, request.rank)),
-                                request.prompt, request.output, request.maxOutput, now - request.arrival,
-                                request.onTimeUntil - now, request.usefulUntil - now, request.dataCentre, request.avoid,
-                                request.promptName});
+    this->uplink(peer::RequestPlacement{
+        request.id, local.service, static_cast<std::uint64_t>(std::max(0, request.rank)), request.prompt,
+        request.output, request.maxOutput, now - request.arrival, request.onTimeUntil - now, request.usefulUntil - now,
+        request.dataCentre, request.avoid, request.promptName});
 }
 
 GateAction PlacementGates::requestPlacement(const ServiceId &service, const GenerationRequest &request,
@@ -210,53 +210,53 @@
     return decision;
 }
 
-void PlacementGates::apply(Gate &gate, const RequestId &id, peer::PlaceEvent event, Tokens output)
+void PlacementGates::apply(Gate &gate, const RequestId &id, peer::PlacementEvent event, Tokens output)
 {
     const Instant now = steadyNow();
     switch (event) {
-    case peer::PlaceEvent::Reserved:
+    case peer::PlacementEvent::Reserved:
         gate.core.onReserved(id);
         return;
-    case peer::PlaceEvent::Read:
+    case peer::PlacementEvent::Prefilled:
         gate.core.onPrefilled(id, now);
         break;
-    case peer::PlaceEvent::ReadFailed:
+    case peer::PlacementEvent::PrefillFailed:
         gate.core.onPrefillFailed(id, now);
         break;
-    case peer::PlaceEvent::ResultLost:
+    case peer::PlacementEvent::ResultLost:
         gate.core.onResultLost(id, now);
         break;
-    case peer::PlaceEvent::Full:
+    case peer::PlacementEvent::Full:
         gate.core.onFull(id, now);
         break;
-    case peer::PlaceEvent::Fault:
+    case peer::PlacementEvent::Fault:
         gate.core.onFault(id, now);
         break;
-    case peer::PlaceEvent::Ended:
-    case peer::PlaceEvent::EndedByFault:
-        gate.core.onEnded(id, event == peer::PlaceEvent::EndedByFault, output, now);
+    case peer::PlacementEvent::Ended:
+    case peer::PlacementEvent::EndedByFault:
+        gate.core.onEnded(id, event == peer::PlacementEvent::EndedByFault, output, now);
         break;
     }
     this->poll(gate);
 }
 
-void PlacementGates::report(const ServiceId &service, const RequestId &id, peer::PlaceEvent event, Tokens output)
+void PlacementGates::report(const ServiceId &service, const RequestId &id, peer::PlacementEvent event, Tokens output)
 {
     const auto found = this->localGenerations.find(id);
     if (found == this->localGenerations.end()) {
         return;
     }
     const auto local = found->second;
-    const bool isRetry = event == peer::PlaceEvent::Full || event == peer::PlaceEvent::Fault;
-    const bool isEnd = event == peer::PlaceEvent::Ended || event == peer::PlaceEvent::EndedByFault;
+    const bool isRetry = event == peer::PlacementEvent::Full || event == peer::PlacementEvent::Fault;
+    const bool isEnd = event == peer::PlacementEvent::Ended || event == peer::PlacementEvent::EndedByFault;
     if (isEnd) {
         this->localGenerations.erase(found);
     }
     Gate &gate = this->gate(service);
     if (this->uplink) {
-        this->uplink(peer::PlaceReport{id, service, event, output});
+        this->uplink(peer::PlacementReport{id, service, event, output});
     }
-    if (event == peer::PlaceEvent::Reserved && this->uplink) {
+    if (event == peer::PlacementEvent::Reserved && this->uplink) {
         gate.core.adopt(local->request, local->engine, local->since);
     } else {
         this->apply(gate, id, event, output);
@@ -281,7 +281,7 @@
     this->isSuspended = false;
     this->uplink = std::move(send);
     if (this->uplink) {
-        peer::HeldPlaces held;
+        peer::HeldPlacements held;
         const Instant now = steadyNow();
         for (const auto &[id, local] : this->localGenerations) {
             if (!local->engine.isEmpty()) {
@@ -319,7 +319,7 @@
     }
 }
 
-void PlacementGates::onPlacementOffered(const peer::TryPlace &message)
+void PlacementGates::onPlacementOffered(const peer::OfferPlacement &message)
 {
     const auto found = this->localGenerations.find(message.request);
     if (found != this->localGenerations.end() && found->second->isAtLeader) {
@@ -327,7 +327,7 @@
     }
 }
 
-void PlacementGates::onPlacementRejected(const peer::NoPlace &message)
+void PlacementGates::onPlacementRejected(const peer::RejectPlacement &message)
 {
     const auto found = this->localGenerations.find(message.request);
     if (found != this->localGenerations.end() && found->second->isAtLeader) {
@@ -337,11 +337,11 @@
 
 void PlacementGates::onChanging(const peer::EngineChanging &message)
 {
-    this->fleet.setChanging(EndpointId(message.engine.value()), steadyNow() + message.lasts);
+    this->fleet.setChanging(EndpointId(message.engine.value()), steadyNow() + message.duration);
     this->onFleetChanged();
 }
 
-void PlacementGates::onPlacementRequested(LinkId link, const Send &reply, const peer::AskPlace &message)
+void PlacementGates::onPlacementRequested(LinkId link, const Send &reply, const peer::RequestPlacement &message)
 {
     const Instant now = steadyNow();
     GenerationRequest request;
@@ -349,7 +349,7 @@
     request.rank = static_cast<int>(message.rank);
     request.prompt = message.prompt;
     request.output = message.output;
-    request.maxOutput = message.mostOutput;
+    request.maxOutput = message.maxOutput;
     request.arrival = now - message.waited;
     request.onTimeUntil = now + message.onTime;
     request.usefulUntil = now + message.useful;
@@ -362,23 +362,23 @@
     this->poll(gate);
 }
 
-void PlacementGates::onPlacementReport(LinkId, const peer::PlaceReport &message)
+void PlacementGates::onPlacementReport(LinkId, const peer::PlacementReport &message)
 {
-    this->apply(this->gate(message.service), message.request, message.event, message.made);
-    if (message.event == peer::PlaceEvent::Ended || message.event == peer::PlaceEvent::EndedByFault) {
+    this->apply(this->gate(message.service), message.request, message.event, message.output);
+    if (message.event == peer::PlacementEvent::Ended || message.event == peer::PlacementEvent::EndedByFault) {
         this->remoteGenerations.erase(message.request);
     }
 }
 
-void PlacementGates::onHeldPlacements(LinkId link, const peer::HeldPlaces &message)
+void PlacementGates::onHeldPlacements(LinkId link, const peer::HeldPlacements &message)
 {
     const Instant now = steadyNow();
-    for (const peer::HeldPlace &place : message.places) {
+    for (const peer::HeldPlacement &place : message.places) {
         GenerationRequest request;
         request.id = place.request;
         request.prompt = place.prompt;
         request.output = place.output;
-        request.maxOutput = place.mostOutput;
+        request.maxOutput = place.maxOutput;
         this->remoteGenerations[request.id] = RemoteGeneration{link, place.service, {}};
         this->gate(place.service).core.adopt(request, place.engine, now - place.age);
     }
--- a/programs/gateway/placementgates.h
+++ b/programs/gateway/placementgates.h
@@ -4,7 +4,7 @@
 //
 //     PlacementGates gates(io, fleet, seed);
 //     const GateAction action = gates.requestPlacement(service, request, yield); // an engine to try, or a rejection
-//     gates.report(service, id, peer::PlaceEvent::Full);             // the generation is queued again
+//     gates.report(service, id, peer::PlacementEvent::Full);             // the generation is queued again
 //     const GateAction next = gates.nextDecision(id, yield);
 //     gates.setUplink([&](const peer::Message &message) { ... });    // another host is the leader, or its deputy
 //     gates.suspend();                                               // it was lost, and a deputy may take over soon
@@ -36,7 +36,7 @@
     // Waits for the next decision after an engine was full or failed.
     GateAction nextDecision(const RequestId &id, const asio::yield_context &yield);
     // Reports an event of the placement of a generation of this host.
-    void report(const ServiceId &service, const RequestId &id, peer::PlaceEvent event, Tokens output = Tokens(0));
+    void report(const ServiceId &service, const RequestId &id, peer::PlacementEvent event, Tokens output = Tokens(0));
     // Ends a wait at once, since the caller disconnected.
     void cancelWait(const RequestId &id);
     // Engines were added, removed or changed.
@@ -57,14 +57,14 @@
     void suspend();
     // Sets the part of the engines' memory that this host may fill.
     void setShare(double share);
-    void onPlacementOffered(const peer::TryPlace &message);
-    void onPlacementRejected(const peer::NoPlace &message);
+    void onPlacementOffered(const peer::OfferPlacement &message);
+    void onPlacementRejected(const peer::RejectPlacement &message);
     void onChanging(const peer::EngineChanging &message);
 
     // Messages from a host that follows this one.
-    void onPlacementRequested(LinkId link, const Send &reply, const peer::AskPlace &message);
-    void onPlacementReport(LinkId link, const peer::PlaceReport &message);
-    void onHeldPlacements(LinkId link, const peer::HeldPlaces &message);
+    void onPlacementRequested(LinkId link, const Send &reply, const peer::RequestPlacement &message);
+    void onPlacementReport(LinkId link, const peer::PlacementReport &message);
+    void onHeldPlacements(LinkId link, const peer::HeldPlacements &message);
     void onFollowerLost(LinkId link);
 
 private:
@@ -107,7 +107,7 @@
     void deliver(const GateAction &action);
     void decide(LocalGeneration &local, const GateAction &action);
     void submit(LocalGeneration &local);
-    void apply(Gate &gate, const RequestId &id, peer::PlaceEvent event, Tokens output);
+    void apply(Gate &gate, const RequestId &id, peer::PlacementEvent event, Tokens output);
 
     asio::io_context &io;
     FleetView &fleet;
--- a/programs/gateway/recentrows.cpp
+++ b/programs/gateway/recentrows.cpp
@@ -33,10 +33,10 @@
     return version >= this->since && version <= this->newest;
 }
 
-peer::RegistryNews RecentRows::after(std::int64_t version) const
+peer::RegistryUpdate RecentRows::after(std::int64_t version) const
 {
     const auto first = static_cast<std::uint64_t>(version);
-    peer::RegistryNews update{first, static_cast<std::uint64_t>(this->newest), {}};
+    peer::RegistryUpdate update{first, static_cast<std::uint64_t>(this->newest), {}};
     for (const peer::RegistryRow &row : this->rows) {
         if (row.version > first) {
             update.rows.push_back(row);
--- a/programs/gateway/recentrows.h
+++ b/programs/gateway/recentrows.h
@@ -30,7 +30,7 @@
     void add(const std::vector<peer::RegistryRow> &rows, std::int64_t before, std::int64_t version);
     // Whether all changes after that version are held; false if the version is too old or newer than the newest held.
     bool covers(std::int64_t version) const;
-    peer::RegistryNews after(std::int64_t version) const;
+    peer::RegistryUpdate after(std::int64_t version) const;
 
 private:
     std::deque<peer::RegistryRow> rows;
--- a/programs/gateway/storewatcher.cpp
+++ b/programs/gateway/storewatcher.cpp
@@ -310,7 +310,7 @@
     });
 }
 
-void StoreWatcher::onUpdate(const peer::RegistryNews &update)
+void StoreWatcher::onUpdate(const peer::RegistryUpdate &update)
 {
     asio::post(this->io, [this, update] {
         const std::int64_t has = this->registry.version.value_or(-1);
@@ -335,7 +335,7 @@
     });
 }
 
-void StoreWatcher::onUpdate(const peer::ConfigNews &update)
+void StoreWatcher::onUpdate(const peer::ConfigUpdate &update)
 {
     asio::post(this->io, [this, update] {
         const ConfigReplica::UpdateOutcome outcome = this->replica.takeUpdate(update);
@@ -518,7 +518,7 @@
     return std::make_shared<const RoutingConfig>(std::move(*decoded));
 }
 
-peer::ConfigNews StoreWatcher::configSummary() const
+peer::ConfigUpdate StoreWatcher::configSummary() const
 {
     return {static_cast<std::uint64_t>(this->replica.row().value()), 0, {}};
 }
--- a/programs/gateway/storewatcher.h
+++ b/programs/gateway/storewatcher.h
@@ -91,8 +91,8 @@
     // Gives up the leadership, since this host is stopping.
     void release();
     // Updates from the leader. While they arrive, this host does not read the store itself.
-    void onUpdate(const peer::RegistryNews &update);
-    void onUpdate(const peer::ConfigNews &update);
+    void onUpdate(const peer::RegistryUpdate &update);
+    void onUpdate(const peer::ConfigUpdate &update);
     void onConfigDelayed();
     void onLeaderLostStore();
     // Adds a host that follows this one and has all changes up to `version`.
@@ -153,7 +153,7 @@
     void takeRow(Table table, const StoreRow &row);
     void takeConfig(const StoreRow &row);
     std::shared_ptr<const RoutingConfig> decodeConfig(const StoreRow &row);
-    peer::ConfigNews configSummary() const;
+    peer::ConfigUpdate configSummary() const;
     void takeList(const std::vector<StoreRow> &rows);
     void forwardToFollowers(const std::vector<StoreRow> &rows, std::int64_t before);
     void recordRecentRows(const std::vector<StoreRow> &rows, std::int64_t before, bool isWhole);
--- a/programs/gateway/testing/configreplica_test.cpp
+++ b/programs/gateway/testing/configreplica_test.cpp
@@ -46,10 +46,10 @@
 }
 
 // The updates that a leader sends to its followers when it reads these rows in order.
-std::vector<peer::ConfigNews> updatesOfLeader(const std::vector<std::pair<std::int64_t, Config>> &rows)
+std::vector<peer::ConfigUpdate> updatesOfLeader(const std::vector<std::pair<std::int64_t, Config>> &rows)
 {
     ConfigReplica leader;
-    std::vector<peer::ConfigNews> sent;
+    std::vector<peer::ConfigUpdate> sent;
     for (const auto &[row, config] : rows) {
         if (const auto step = leader.takeRow(RowVersion(row), config)) {
             sent.push_back(updateOf(*step));
@@ -151,7 +151,7 @@
         const bool isReadable = *rc::gen::inRange(0, 8) > 0;
         rows[row] = isReadable ? configOf(number * 3, weights) : nullptr;
     }
-    std::vector<peer::ConfigNews> sent;
+    std::vector<peer::ConfigUpdate> sent;
     for (int leader = 0; leader < 2; ++leader) {
         ConfigReplica replica;
         for (const auto &[version, config] : rows) {
@@ -159,7 +159,7 @@
                 continue;
             }
             const auto step = replica.takeRow(RowVersion(version), config);
-            sent.push_back(step ? updateOf(*step) : peer::ConfigNews{static_cast<std::uint64_t>(version), 0, {}});
+            sent.push_back(step ? updateOf(*step) : peer::ConfigUpdate{static_cast<std::uint64_t>(version), 0, {}});
         }
     }
     ConfigReplica follower;
@@ -183,7 +183,7 @@
         check();
     }
     const auto &last = *rows.rbegin();
-    const peer::ConfigNews lastUpdate{static_cast<std::uint64_t>(last.first), 0, {}};
+    const peer::ConfigUpdate lastUpdate{static_cast<std::uint64_t>(last.first), 0, {}};
     if (follower.takeUpdate(lastUpdate) == ConfigReplica::UpdateOutcome::RowNeeded) {
         follower.takeRow(RowVersion(last.first), last.second);
     }
