--- a/decide/cellchoice.cpp
+++ b/decide/cellchoice.cpp
@@ -155,7 +155,7 @@
     return this->draw(this->othersThan(home, prompt, now));
 }
 
-std::optional<CellId> CellChoice::chooseAgain(const CellId &refusedBy, Tokens prompt, Duration left, Instant now)
+std::optional<CellId> CellChoice::chooseAfterRefusal(const CellId &refusedBy, Tokens prompt, Duration left, Instant now)
 {
     auto candidates = this->othersThan(refusedBy, prompt, now);
     const auto isLate = [left](const Candidate &candidate) {
--- a/decide/cellchoice.h
+++ b/decide/cellchoice.h
@@ -9,7 +9,7 @@
 //     std::optional<CellId> cell = choice.choose(model, prompt, now);
 //     ... refused ...
 //     choice.onRefused(*cell, retryAfter, now);
-//     cell = choice.chooseAgain(*cell, prompt, timeLeft, now); // once; none: the refusal stands
+//     cell = choice.chooseAfterRefusal(*cell, prompt, timeLeft, now); // once; none: the refusal stands
 
 #include "decide/cellmessages.h"
 
@@ -57,7 +57,7 @@
     // Where to ask first.
     std::optional<CellId> choose(const ModelId &model, Tokens prompt, Instant now);
     // Where to ask once more after a refusal, if some cell can be expected to give the first token within `left`.
-    std::optional<CellId> chooseAgain(const CellId &refusedBy, Tokens prompt, Duration left, Instant now);
+    std::optional<CellId> chooseAfterRefusal(const CellId &refusedBy, Tokens prompt, Duration left, Instant now);
     // Until the first token, as expected from here; none where the cell takes nothing or nothing recent is known of it.
     std::optional<Duration> expectedDelay(const CellId &cell, Tokens prompt, Instant now) const;
 
--- a/decide/generationgate.cpp
+++ b/decide/generationgate.cpp
@@ -108,7 +108,8 @@
 void GenerationGate::addNeed(const GenerationAsk &ask, Instant now)
 {
     const double fade = this->needFade(now);
-    const auto output = static_cast<double>(this->estimate.expect(ask.output, ask.mostOutput).left(Tokens(0)).value());
+    const auto output =
+        static_cast<double>(this->estimate.expect(ask.output, ask.mostOutput).remaining(Tokens(0)).value());
     const double meanHeld = static_cast<double>(ask.prompt.value()) + output / 2;
     this->promptTokens = this->promptTokens * fade + static_cast<double>(ask.prompt.value());
     this->heldTokenUs = this->heldTokenUs * fade + meanHeld * output * this->perTokenUs;
--- a/decide/memoryforecast.cpp
+++ b/decide/memoryforecast.cpp
@@ -19,7 +19,7 @@
 Ahead aheadOf(const GrowingRun &run, double perTokenUs, Instant now)
 {
     const double made = std::max(0.0, static_cast<double>((now - run.started).count()) / perTokenUs);
-    const Tokens left = run.output.left(Tokens(static_cast<std::int64_t>(made)));
+    const Tokens left = run.output.remaining(Tokens(static_cast<std::int64_t>(made)));
     return {static_cast<double>(run.prompt.value()) + made, static_cast<double>(left.value())};
 }
 
--- a/decide/outputestimate.cpp
+++ b/decide/outputestimate.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-Tokens ExpectedOutput::left(Tokens made) const
+Tokens ExpectedOutput::remaining(Tokens made) const
 {
     const auto done = static_cast<double>(std::max<std::int64_t>(1, made.value()));
     const double s = std::max(leastSpread, this->spread);
--- a/decide/outputestimate.h
+++ b/decide/outputestimate.h
@@ -5,7 +5,7 @@
 //     OutputEstimate estimate;
 //     const ExpectedOutput expected = estimate.expect(Tokens(3500), Tokens(6500));
 //     estimate.learn(Tokens(3500), Tokens(2900));               // a generation ended
-//     expected.left(Tokens(1000));                              // still to come, of one that has made 1,000
+//     expected.remaining(Tokens(1000));                              // still to come, of one that has made 1,000
 //
 // Load: callers' estimates that are right at the median and off by a factor of two either way. Harm prevented: engines
 // filled by estimates that are too small, which throw out answers midway.
@@ -22,7 +22,7 @@
     Tokens most; // the caller's bound
 
     // The mean of what is left of an answer that has this much and has not ended.
-    Tokens left(Tokens made) const;
+    Tokens remaining(Tokens made) const;
 };
 
 class OutputEstimate
--- a/decide/testing/cellchoice_test.cpp
+++ b/decide/testing/cellchoice_test.cpp
@@ -43,7 +43,7 @@
 {
     std::map<CellId, int> asked;
     for (int i = 0; i < times; ++i) {
-        if (const auto cell = choice.chooseAgain(cellIn("a"), Tokens(100), left, now)) {
+        if (const auto cell = choice.chooseAfterRefusal(cellIn("a"), Tokens(100), left, now)) {
             ++asked[*cell];
         }
     }
@@ -118,7 +118,7 @@
             choice.onSummary(cellIn(name), summaryOf(name == "b" ? 0ms : 5ms, pieces), start);
         }
         EXPECT_EQ(choice.choose(model, Tokens(100), start), cellIn("a"));
-        ++asked[*choice.chooseAgain(cellIn("a"), Tokens(100), 500ms, start)];
+        ++asked[*choice.chooseAfterRefusal(cellIn("a"), Tokens(100), 500ms, start)];
     }
     for (const auto &[name, pieces] : room) {
         EXPECT_GT(asked[cellIn(name)], entries * pieces / 300 / 2) << name;
@@ -136,7 +136,7 @@
         const Instant now = start + 100ms * tenth;
         choice.onSummary(cellIn("a"), summaryOf(2s, 0, 1 + static_cast<std::uint64_t>(tenth)), now);
         choice.onSummary(cellIn("b"), summaryOf(0ms, 100, 1), now);
-        if (choice.chooseAgain(cellIn("a"), Tokens(100), 500ms, now)) {
+        if (choice.chooseAfterRefusal(cellIn("a"), Tokens(100), 500ms, now)) {
             ++asked;
             choice.onRefused(cellIn("b"), 5s, now);
         }
@@ -191,7 +191,7 @@
         mayBeAsked[cellIn(name)] =
             name != "a" && summary.version > 0 && summary.accepting && age <= 30s && isReachable && !isAvoided;
     }
-    const auto chosen = choice.chooseAgain(cellIn("a"), Tokens(100), 500ms, start + 60s);
+    const auto chosen = choice.chooseAfterRefusal(cellIn("a"), Tokens(100), 500ms, start + 60s);
     const bool any = std::any_of(mayBeAsked.begin(), mayBeAsked.end(), [](const auto &one) { return one.second; });
     RC_ASSERT(chosen.has_value() == any);
     // Outside the macro, which evaluates both sides of an or.
--- a/decide/testing/memoryforecast_test.cpp
+++ b/decide/testing/memoryforecast_test.cpp
@@ -69,11 +69,11 @@
 TEST(ExpectedOutput, ALongAnswerIsExpectedToGoOn)
 {
     const ExpectedOutput output{Tokens(1000), 0.5, Tokens(10000)};
-    EXPECT_NEAR(output.left(Tokens(0)).value(), 1133, 40); // the mean of a lognormal lies above its median
-    EXPECT_GT(output.left(Tokens(1500)).value(), 300);
-    EXPECT_GT(output.left(Tokens(5000)).value(), 500);
-    EXPECT_EQ(output.left(Tokens(10000)).value(), 0); // never past the caller's bound
-    EXPECT_EQ((ExpectedOutput{Tokens(10), 0.1, Tokens(10)}).left(Tokens(20)).value(), 0);
+    EXPECT_NEAR(output.remaining(Tokens(0)).value(), 1133, 40); // the mean of a lognormal lies above its median
+    EXPECT_GT(output.remaining(Tokens(1500)).value(), 300);
+    EXPECT_GT(output.remaining(Tokens(5000)).value(), 500);
+    EXPECT_EQ(output.remaining(Tokens(10000)).value(), 0); // never past the caller's bound
+    EXPECT_EQ((ExpectedOutput{Tokens(10), 0.1, Tokens(10)}).remaining(Tokens(20)).value(), 0);
 }
 
 // Lengths and errors of the estimates both spread by half: the best line has a slope of a half and leaves a spread of
--- a/programs/entry/placing.cpp
+++ b/programs/entry/placing.cpp
@@ -137,7 +137,7 @@
     const Duration left = this->job.firstToken - (now - this->job.arrival);
     CellChoice &choice = this->services.cellChoice;
     choice.onRefused(this->chosen, refusal.retryAfter.value_or(Duration(0)), now);
-    const auto next = choice.chooseAgain(this->chosen, this->job.prompt, left, now);
+    const auto next = choice.chooseAfterRefusal(this->chosen, this->job.prompt, left, now);
     if (!next) {
         return false;
     }
--- a/testing/bench/cellsreport.cpp
+++ b/testing/bench/cellsreport.cpp
@@ -36,7 +36,7 @@
     }
     const auto middle = Clock::now();
     for (int i = 0; i < rounds; ++i) {
-        found += choice.chooseAgain(all[static_cast<std::size_t>(i % models)], Tokens(1000), 500ms, now) ? 1 : 0;
+        found += choice.chooseAfterRefusal(all[static_cast<std::size_t>(i % models)], Tokens(1000), 500ms, now) ? 1 : 0;
     }
     const auto each = [](Clock::duration time) {
         return std::chrono::duration<double, std::micro>(time).count() / rounds;
--- a/testing/bench/cellworld.cpp
+++ b/testing/bench/cellworld.cpp
@@ -296,7 +296,7 @@
         entry.choice.onRefused(refusedBy, retryAfter, now);
         const Duration left = job.targets.firstToken - (now - state.asked);
         const auto next =
-            state.tries < mostTries ? entry.choice.chooseAgain(refusedBy, job.prompt, left, now) : std::nullopt;
+            state.tries < mostTries ? entry.choice.chooseAfterRefusal(refusedBy, job.prompt, left, now) : std::nullopt;
         if (next) {
             this->send(job, this->numberOf(*next));
             return;
--- a/testing/bench/simulation.cpp
+++ b/testing/bench/simulation.cpp
@@ -154,7 +154,8 @@
     const CellId refusedBy{ModelId("m"), DataCentreId(this->cells[static_cast<std::size_t>(state.cell)]->dataCentre())};
     CellChoice &choice = this->choices[static_cast<std::size_t>(state.home)];
     choice.onRefused(refusedBy, outcome.retryAfter.value_or(Duration(0)), now);
-    const auto next = choice.chooseAgain(refusedBy, job.prompt, job.targets.firstToken - (now - state.asked), now);
+    const auto next =
+        choice.chooseAfterRefusal(refusedBy, job.prompt, job.targets.firstToken - (now - state.asked), now);
     for (std::size_t i = 0; next && i < this->cells.size(); ++i) {
         if (this->cells[i]->dataCentre() == next->dataCentre.value()) {
             state.isElsewhere = true;
