--- a/decide/cellchoice.cpp
+++ b/decide/cellchoice.cpp
@@ -1,15 +1,18 @@
-// The own data centre's cell first, whatever its summary says; another one only for a request that it refuses.
+// The cell of the own data centre gets each request first, whatever its summary says. Another cell is chosen only for a
+// request that the own cell refuses.
 //
-// Load: callers of one data centre ask for more than its cell can do while others have room, and 340 entries hear of
-// it seconds late and all at about the same time. Harm prevented: all send to the cell that was best some seconds ago,
-// fill it, and turn together to the next (herding); three requests in four then cross the country for nothing.
+// Why: callers of one data centre may send more than its cell can serve while others have room, and 340 entries receive
+// the summaries seconds late and all at about the same time. If every entry sent to the cell with the best summary, all
+// would fill that cell and then move to the next one together (herding), and three requests in four would cross the
+// country for nothing.
 //
-// The owner of a cell decides with an exact picture, at once, and a few hundred microseconds away. So what is moved is
-// just what it refuses, and only the second choice goes by late summaries. That one is a draw of two by the room that
-// the summaries show, the less delayed of which is asked: entries with the same summary spread over the cells with
-// room, and by how much. A cell that refuses as well is left alone for a moment, which bounds what a stuck summary can
-// attract to one request of each entry in that time. One more cell is asked, never two: when all are full each request
-// costs two decisions at most, and then one, since all the others are being left alone.
+// The owner of a cell decides on exact state, immediately, and is a few hundred microseconds away. So only refused
+// requests move to another data centre, and only this second choice relies on delayed summaries. It draws two cells
+// with probabilities proportional to their free memory and takes the one with the smaller delay, so entries with the
+// same summaries spread over the cells in proportion to their room. A cell that refuses as well is avoided for a
+// moment. This limits what an outdated summary can attract to one request of each entry in that time. At most one
+// further cell is asked: when all cells are full a request costs at most two decisions, and then one, since the other
+// cells are avoided.
 //
 // Rejected, with figures in docs/design/cells.md: least expected delay over all cells, and the dual price of the
 // related paper.
@@ -21,20 +24,20 @@
 namespace fescuesill
 {
 
-constexpr double fullUse = 0.97; // of the decode memory; above it a request waits for a place
-constexpr Duration fullCost = 100ms; // about what one release takes in a cell of today's size
+constexpr double fullUse = 0.97; // of the decode memory; above it a request waits until memory is released
+constexpr Duration fullCost = 100ms; // about the time until one release in a cell of today's size
 
 void CellChoice::onSummary(const CellId &cell, const CellSummary &summary, Instant now)
 {
     const auto [found, isNew] = this->cells.try_emplace(cell);
-    Known &known = found->second;
-    // Failure: the owner of a cell stopped publishing, and its last word is repeated every second by the scheduler of
-    // this host. Shows as a cell that stays as free as it was then. Only a newer version renews what is known.
-    if (!isNew && summary.version <= known.summary.version) {
+    CellRecord &record = found->second;
+    // If the owner of a cell stops publishing, the scheduler of this host repeats its last summary every second, and
+    // the cell would look as free as it was then. So only a newer version renews the record.
+    if (!isNew && summary.version <= record.summary.version) {
         return;
     }
-    known.summary = summary;
-    known.received = now;
+    record.summary = summary;
+    record.received = now;
 }
 
 void CellChoice::onLink(const DataCentreId &dataCentre, Duration oneWay, double lossShare)
@@ -54,15 +57,15 @@
 {
     const auto found = this->cells.find(cell);
     if (found != this->cells.end()) {
-        const Duration least = this->options.leastAvoided;
-        found->second.avoidUntil = now + std::clamp(retryAfter, least, this->options.mostAvoided);
+        const Duration shortest = this->options.minAvoidance;
+        found->second.avoidUntil = now + std::clamp(retryAfter, shortest, this->options.maxAvoidance);
     }
 }
 
-// A cell of the declaration of which nothing was heard yet has version 0; it would look as if it were idle.
-bool CellChoice::isFresh(const Known &known, Instant now) const
+// A declared cell that has published nothing yet has version 0; its default summary would look like an idle cell.
+bool CellChoice::isFresh(const CellRecord &record, Instant now) const
 {
-    return known.summary.version > 0 && now <= known.received + this->options.freshness;
+    return record.summary.version > 0 && now <= record.received + this->options.freshness;
 }
 
 std::optional<Duration> CellChoice::expectedDelay(const CellId &cell, Tokens prompt, Instant now) const
@@ -71,10 +74,10 @@
     if (found == this->cells.end()) {
         return std::nullopt;
     }
-    const Known &known = found->second;
-    const CellSummary &summary = known.summary;
+    const CellRecord &record = found->second;
+    const CellSummary &summary = record.summary;
     const bool isUsable = summary.accepting && summary.prefillEngines > 0 && summary.decodeEngines > 0;
-    if (!isUsable || !known.isReachable || !this->isFresh(known, now)) {
+    if (!isUsable || !record.isReachable || !this->isFresh(record, now)) {
         return std::nullopt;
     }
     Duration delay = summary.queueDelay + summary.prefillPerToken * prompt.value();
@@ -83,16 +86,16 @@
     }
     if (cell.dataCentre != this->options.home) {
         const auto link = this->links.find(cell.dataCentre);
-        const Link way = link == this->links.end() ? Link() : link->second;
-        const double losses = way.lossShare * this->options.packets;
-        delay += 2 * way.oneWay + this->options.awayCost
+        const Link path = link == this->links.end() ? Link() : link->second;
+        const double losses = path.lossShare * this->options.packetsPerRequest;
+        delay += 2 * path.oneWay + this->options.remoteCost
             + std::chrono::duration_cast<Duration>(this->options.lossCost * losses);
     }
     return delay;
 }
 
-// An old summary keeps nobody from asking here: the owner is near and knows. Neither does an owner that cannot be
-// reached, since it may have a successor within seconds and the entry can place among engines that are near.
+// The own cell is used even if its summary is old, since its owner is near and has exact state. It is also used if the
+// owner is unreachable: a successor may take over within seconds, and the entry can place on nearby engines by itself.
 bool CellChoice::isHomeUsable(const CellId &home, Instant now) const
 {
     const auto found = this->cells.find(home);
@@ -102,28 +105,29 @@
     return found->second.summary.accepting || !this->isFresh(found->second, now);
 }
 
-std::vector<CellChoice::Candidate> CellChoice::othersThan(const CellId &cell, Tokens prompt, Instant now) const
+std::vector<CellChoice::Candidate> CellChoice::candidatesExcept(const CellId &cell, Tokens prompt, Instant now) const
 {
     std::vector<Candidate> candidates;
-    for (const auto &[other, known] : this->cells) {
-        const bool isCandidate = other.model == cell.model && !(other == cell) && now >= known.avoidUntil;
+    for (const auto &[other, record] : this->cells) {
+        const bool isCandidate = other.model == cell.model && !(other == cell) && now >= record.avoidUntil;
         const auto delay = isCandidate ? this->expectedDelay(other, prompt, now) : std::nullopt;
         if (delay) {
-            candidates.push_back({other, *delay, 1 + known.summary.freePieces.value()});
+            candidates.push_back({other, *delay, 1 + record.summary.freePieces.value()});
         }
     }
     return candidates;
 }
 
-// Two draws by room among the close ones; the one with less delay.
+// Draws two candidates, weighted by room, among those within maxExtraDelay of the best; returns the one with less
+// delay.
 std::optional<CellId> CellChoice::draw(std::vector<Candidate> candidates)
 {
-    Duration least = Duration::max();
+    Duration shortest = Duration::max();
     for (const Candidate &candidate : candidates) {
-        least = std::min(least, candidate.delay);
+        shortest = std::min(shortest, candidate.delay);
     }
-    const auto isFar = [this, least](const Candidate &candidate) {
-        return candidate.delay - least > this->options.close;
+    const auto isFar = [this, shortest](const Candidate &candidate) {
+        return candidate.delay - shortest > this->options.maxExtraDelay;
     };
     candidates.erase(std::remove_if(candidates.begin(), candidates.end(), isFar), candidates.end());
     std::int64_t room = 0;
@@ -152,12 +156,12 @@
     if (this->isHomeUsable(home, now)) {
         return home;
     }
-    return this->draw(this->othersThan(home, prompt, now));
+    return this->draw(this->candidatesExcept(home, prompt, now));
 }
 
 std::optional<CellId> CellChoice::chooseAfterRefusal(const CellId &refusedBy, Tokens prompt, Duration left, Instant now)
 {
-    auto candidates = this->othersThan(refusedBy, prompt, now);
+    auto candidates = this->candidatesExcept(refusedBy, prompt, now);
     const auto isLate = [left](const Candidate &candidate) {
         return candidate.delay > left;
     };
--- a/decide/cellchoice.h
+++ b/decide/cellchoice.h
@@ -1,15 +1,15 @@
 #pragma once
 
-// Which cell a request should go to, by the summaries that the cells spread.
+// Chooses the cell for a request from the summaries that the cells publish.
 //
 //     CellChoice choice(CellChoice::Options{}, seed);
-//     choice.onSummary(cell, summary, now);                  // as often as told; what is not newer changes nothing
-//     choice.onLink(dataCentre, 4ms, 0.01);                  // one way
+//     choice.onSummary(cell, summary, now);                  // any number of times; only a newer version has an effect
+//     choice.onLink(dataCentre, 4ms, 0.01);                  // one-way delay and share of lost packets
 //     choice.onReach(cell, ownerLinkIsUp);
 //     std::optional<CellId> cell = choice.choose(model, prompt, now);
-//     ... refused ...
+//     ... the cell refuses the request ...
 //     choice.onRefused(*cell, retryAfter, now);
-//     cell = choice.chooseAfterRefusal(*cell, prompt, timeLeft, now); // once; none: the refusal stands
+//     cell = choice.chooseAfterRefusal(*cell, prompt, timeLeft, now); // at most once; empty: the refusal is final
 
 #include "decide/cellmessages.h"
 
@@ -24,22 +24,24 @@
 public:
     struct Options {
         DataCentreId home;
-        // A summary that was not renewed for this long says nothing. A cell publishes every 10 s at the latest, and the
-        // slowest of 340 hosts hears of it some seconds later (docs/design/cells.md).
+        // A summary that was not renewed for this long is ignored. A cell publishes at least every 10 s, and the
+        // slowest of 340 hosts receives a summary some seconds later (docs/design/cells.md).
         Duration freshness{30s};
-        // Added for a cell elsewhere: the delay of its links varies.
-        Duration awayCost{20ms};
+        // Added to the delay of a cell in another data centre, for the variation of link delays.
+        Duration remoteCost{20ms};
         // Time that one lost packet costs on a link (a retransmission timeout).
         Duration lossCost{200ms};
-        // Packets of one request and answer that delay it when lost.
-        double packets = 4;
-        // Cells elsewhere that promise this much more delay than the best of them are not asked: two steps in which
-        // summaries change, so that what is merely old news keeps no cell out, and a lossy link does.
-        Duration close{100ms};
-        // A cell elsewhere that refused is left alone for as long as it said, within these limits: shorter, and each
-        // entry asks a full cell with every request that its own refuses; longer, and room that came free stands empty.
-        Duration leastAvoided{500ms};
-        Duration mostAvoided{2s};
+        // Packets of one request and its answer whose loss delays the request.
+        double packetsPerRequest = 4;
+        // Remote cells whose expected delay exceeds the smallest one by more than this are not candidates. It is two of
+        // the steps by which a published summary may lag behind, so that an outdated summary excludes no cell but a
+        // lossy link does.
+        Duration maxExtraDelay{100ms};
+        // A remote cell that refused is avoided for the time that it stated, within these limits. With a shorter
+        // minimum each entry would send a full cell one request for each that its own cell refuses; with a longer
+        // maximum, memory that becomes free would stay unused.
+        Duration minAvoidance{500ms};
+        Duration maxAvoidance{2s};
     };
 
     CellChoice(const Options &options, std::uint64_t seed)
@@ -50,19 +52,19 @@
 
     void onSummary(const CellId &cell, const CellSummary &summary, Instant now);
     void onLink(const DataCentreId &dataCentre, Duration oneWay, double lossShare);
-    // Whether its owner can be asked from here.
+    // Whether the owner of the cell can be reached from this host.
     void onReach(const CellId &cell, bool isReachable);
     void onRefused(const CellId &cell, Duration retryAfter, Instant now);
 
-    // Where to ask first.
+    // The cell that receives the request first.
     std::optional<CellId> choose(const ModelId &model, Tokens prompt, Instant now);
-    // Where to ask once more after a refusal, if some cell can be expected to give the first token within `left`.
+    // The cell that receives the request after a refusal, if one is expected to give the first token within `left`.
     std::optional<CellId> chooseAfterRefusal(const CellId &refusedBy, Tokens prompt, Duration left, Instant now);
-    // Until the first token, as expected from here; none where the cell takes nothing or nothing recent is known of it.
+    // Expected time to the first token, seen from this host. Empty if the cell takes no work or has no recent summary.
     std::optional<Duration> expectedDelay(const CellId &cell, Tokens prompt, Instant now) const;
 
 private:
-    struct Known {
+    struct CellRecord {
         CellSummary summary;
         Instant received;
         Instant avoidUntil;
@@ -78,15 +80,15 @@
         std::int64_t room = 0;
     };
 
-    bool isFresh(const Known &known, Instant now) const;
+    bool isFresh(const CellRecord &record, Instant now) const;
     bool isHomeUsable(const CellId &home, Instant now) const;
-    std::vector<Candidate> othersThan(const CellId &cell, Tokens prompt, Instant now) const;
+    std::vector<Candidate> candidatesExcept(const CellId &cell, Tokens prompt, Instant now) const;
     std::optional<CellId> draw(std::vector<Candidate> candidates);
 
     Options options;
     std::mt19937_64 random;
-    // Cells and data centres come from the declaration: some 48 and 6.
-    std::map<CellId, Known> cells;
+    // Both come from the declaration, which has some 48 cells in 6 data centres.
+    std::map<CellId, CellRecord> cells;
     std::map<DataCentreId, Link> links;
 };
 
--- a/decide/cellengines.cpp
+++ b/decide/cellengines.cpp
@@ -1,6 +1,6 @@
-// Engines of a cell as declared, reported and found out. An engine takes new work while it is listed, has been heard of
-// since it was lost, is not leaving and is not on its way to the other pool; the tables of each pool are kept in step
-// with that here.
+// The engines of a cell, by the declaration, their reports and their observed failures. An engine takes new work while
+// it is listed, has reported since it was last lost, is not leaving and is not changing its pool. The functions here
+// keep the tables of both pools consistent with that.
 
 #include "decide/cellstate.h"
 
@@ -92,10 +92,10 @@
     for (const std::uint64_t key : this->prefills.jobs(slot)) {
         this->requeue(*this->byKey[key], this->counters.wastedRedone, RefusalCode::EndpointFailed, now);
     }
-    // What decodes there is reported by its entry, which knows whether the prefill result still exists. What was only
-    // to decode there is free to go elsewhere.
+    // Requests that decode on the engine are reported by their entries, which know whether the prefill result still
+    // exists. Requests that are still in prefill and only reserved memory there are released to decode elsewhere.
     for (auto &[request, record] : this->records) {
-        if (record.decode == slot && record.stage == Stage::Reading) {
+        if (record.decode == slot && record.stage == Stage::Prefilling) {
             this->releaseDecode(record, now);
             this->promise(record);
         }
--- a/decide/cellevents.cpp
+++ b/decide/cellevents.cpp
@@ -1,5 +1,5 @@
-// Events of a cell. They may be late, doubled or about requests that have ended: an event that does not fit the stage
-// of its request is ignored, for the stage was reached by a later event.
+// Events of a cell. They may be late, duplicated or about requests that have ended. An event that does not fit the
+// stage of its request is ignored, because a later event has set that stage.
 
 #include "decide/cellstate.h"
 
@@ -8,13 +8,13 @@
 namespace fescuesill
 {
 
-constexpr double delayWeight = 0.02; // of one request in the learnt delay: a second or two of a cell's work
-constexpr double stepWeight = 0.01; // of one sample in the cell's decode step
-constexpr double transferWeight = 0.05; // of one transfer in the measured rate
-// A transfer is measured from the start of the decode to the first token, less a step; samples beyond this many times
-// the estimate were waiting for something else.
-constexpr double leastTransfer = 0.1; // microseconds a token: ten times faster than any link of today
-constexpr double wildTransfer = 20;
+constexpr double delayWeight = 0.02; // weight of one request in the mean delay: one or two seconds of a cell's requests
+constexpr double stepWeight = 0.01; // weight of one sample in the cell's decode step
+constexpr double transferWeight = 0.05; // weight of one transfer in the measured rate
+// A transfer is measured from the start of the decode to the first token, less a step. Samples beyond maxTransferRatio
+// times the estimate include waiting for something else.
+constexpr double minTransferMicros = 0.1; // per token: ten times faster than any link of today
+constexpr double maxTransferRatio = 20;
 
 void CellState::onLoadReport(const EngineId &name, const LoadReport &report, Instant now)
 {
@@ -28,7 +28,7 @@
     }
     EngineState &engine = this->engines[slot];
     engine.instance = report.instance;
-    // A report that is older than the loss tells nothing about life after it.
+    // A report older than the loss does not show that the engine works again.
     if (engine.lost && engine.listed && now - report.age > engine.lostAt) {
         engine.lost = false;
         this->refreshPools(now);
@@ -44,7 +44,7 @@
     if (slot == noEngine) {
         return;
     }
-    // After a gap an eviction may have been missed. What is still believed is corrected by the next read, so it stays.
+    // After a gap an eviction may have been missed. The index entries stay, since the next prefill corrects wrong ones.
     (void)gap;
     for (const CacheEvent &event : events) {
         if (event.kind == CacheEvent::Kind::Added) {
@@ -66,44 +66,44 @@
 void CellState::onPrefillDone(const RequestId &request, const PrefillResult &result, Instant now)
 {
     Record *record = this->find(request);
-    if (record == nullptr || record->stage != Stage::Reading) {
+    if (record == nullptr || record->stage != Stage::Prefilling) {
         return;
     }
     if (const auto slowness = this->prefills.done(record->prefill, record->key, now)) {
         this->prefillOutliers.onSample(record->prefill, *slowness, now);
     }
-    this->counters.promptRead += result.read;
+    this->counters.promptComputed += result.read;
     this->counters.promptReused += result.reused;
     const auto reused = static_cast<std::size_t>(result.reused.value() / this->options.prefixBlock.value());
     if (reused < record->matched) {
         this->prefixes.correct(record->request.prefix, record->prefill, reused);
     }
     this->prefixes.learn(record->request.prefix, record->prefill);
-    record->read = result.read;
+    record->computed = result.read;
     record->keepUntil = now + (result.keep > Duration(0) ? result.keep : this->options.keep);
     if (record->decode != noEngine) {
         this->startDecoding(*record, now);
         return;
     }
-    this->takeBack(*record);
+    this->releasePromise(*record);
     this->makeReady(*record);
 }
 
 void CellState::onPrefillFailed(const RequestId &request, PrefillFault fault, Instant now)
 {
     Record *record = this->find(request);
-    if (record == nullptr || record->stage != Stage::Reading) {
+    if (record == nullptr || record->stage != Stage::Prefilling) {
         return;
     }
     if (fault == PrefillFault::Unreachable) {
-        // Its other reads are reported one by one.
+        // The engine's other prefills are reported one by one.
         this->prefillOutliers.onFailure(record->prefill, now);
         this->refreshPrefill(record->prefill, now);
     }
     this->requeue(*record, this->counters.wastedRedone, RefusalCode::EndpointFailed, now);
 }
 
-// How fast this engine writes: the time between two reports of one stream, for each token.
+// Measures the engine's step: the time between two progress reports of one stream, per token.
 void CellState::sampleStep(Record &record, Tokens output, Instant now)
 {
     EngineState &engine = this->engines[record.decode];
@@ -118,38 +118,40 @@
     record.progressAt = now;
 }
 
-// What the way to the first token took beyond its nominal time, for classes in a hurry: reads that go ahead, places
-// that come free late, links that are shared. Urgent ones go before the others and learn apart: with the delay of all
-// in its margin an urgent request with a long prompt was refused in every burst.
+// Measures the time to the first token beyond its nominal value, for interactive classes. It is caused by prefills that
+// run first, memory released late and shared links. Urgent requests are placed before the others and have a mean of
+// their own: with the delay of all classes as its margin, an urgent request with a long prompt was refused in every
+// burst.
 void CellState::learnDelay(const Record &record, Instant now)
 {
-    if (record.request.requestClass.firstToken > hurried) {
+    if (record.request.requestClass.firstToken > maxInteractiveFirstToken) {
         return;
     }
     const auto took = static_cast<double>((now - record.placedAt).count());
     const double extra = took - static_cast<double>(this->serviceTime(record).count());
-    Delay &delay = isUrgent(record) ? this->urgentDelay : this->hurriedDelay;
+    Delay &delay = isUrgent(record) ? this->urgentDelay : this->interactiveDelay;
     const double error = extra - delay.mean;
-    delay.learnt = now;
+    delay.updated = now;
     delay.mean += delayWeight * error;
     delay.spread += delayWeight * (std::abs(error) - delay.spread);
 }
 
-// Sums of times and of tokens fade alike; their quotient is not bent by short prompts, whose time is mostly the wait
-// for a step.
+// The sums of times and of tokens decay alike. Their quotient is not distorted by short prompts, whose time is mostly
+// the wait for a step.
 void CellState::learnTransfer(const Record &record, Instant now)
 {
-    if (!record.linkAlone || record.answered) {
+    if (!record.linkExclusive || record.answered) {
         return;
     }
-    const double moved = static_cast<double>((now - record.decodeSince).count()) - stepsToFirstToken * this->stepMicros;
+    const double elapsed =
+        static_cast<double>((now - record.decodeSince).count()) - stepsToFirstToken * this->stepMicros;
     const auto tokens = static_cast<double>(this->contextOf(record).value());
-    if (moved > wildTransfer * this->transferMicros * tokens) {
+    if (elapsed > maxTransferRatio * this->transferMicros * tokens) {
         return;
     }
-    this->movedMicros += transferWeight * (moved - this->movedMicros);
-    this->movedTokens += transferWeight * (tokens - this->movedTokens);
-    this->transferMicros = std::max(leastTransfer, this->movedMicros / this->movedTokens);
+    this->transferredMicros += transferWeight * (elapsed - this->transferredMicros);
+    this->transferredTokens += transferWeight * (tokens - this->transferredTokens);
+    this->transferMicros = std::max(minTransferMicros, this->transferredMicros / this->transferredTokens);
 }
 
 void CellState::onFirstToken(const RequestId &request, Instant now)
@@ -158,7 +160,7 @@
     if (record == nullptr || record->stage != Stage::Decoding) {
         return;
     }
-    this->endMove(*record);
+    this->endTransfer(*record);
     this->learnTransfer(*record, now);
     if (!record->answered && record->attempts == 0) {
         this->learnDelay(*record, now);
@@ -174,9 +176,9 @@
         return;
     }
     record->answered = true;
-    this->endMove(*record);
+    this->endTransfer(*record);
     this->sampleStep(*record, output, now);
-    // The answer has outgrown what was reserved for it.
+    // The answer needs more memory than was reserved for it.
     const Pieces need = piecesFor(this->contextOf(*record));
     if (need > record->pieces) {
         this->memory.hold(record->decode, need - record->pieces, now);
@@ -184,8 +186,8 @@
     }
 }
 
-// The decode engine died or refused. Load: an engine with twenty answers dies. Harm prevented: twenty prompts read
-// again while the results of the latest still lie on their prefill engines.
+// The decode engine died or refused. If an engine with twenty answers dies, the prefill results of the latest are still
+// on their prefill engines, and those prompts are not computed again.
 void CellState::onDecodeFailed(const RequestId &request, DecodeFault fault, bool kvHeld, Instant now)
 {
     Record *record = this->find(request);
@@ -195,7 +197,8 @@
     const EngineSlot failed = record->decode;
     this->releaseDecode(*record, now);
     if (fault == DecodeFault::NoMemory) {
-        // Something we do not know of holds it. Nothing goes there until the next report says what is free.
+        // The memory is held by something unknown to this owner. Nothing is placed there until the next report states
+        // what is free.
         this->memory.onReport(failed, this->engines[failed].spec.memory + this->memory.held(failed), now);
     } else if (fault == DecodeFault::Unreachable) {
         this->decodeOutliers.onFailure(failed, now);
@@ -236,18 +239,18 @@
     case Stage::Waiting:
         this->queue.remove(request);
         break;
-    case Stage::Reading:
+    case Stage::Prefilling:
         this->leavePrefill(*record, now);
         break;
     case Stage::Ready:
         this->leaveReady(*record);
-        this->endMove(*record);
+        this->endTransfer(*record);
         break;
     case Stage::Decoding:
         break;
     }
     if (!record->answered) {
-        this->counters.wastedCancelled += record->read;
+        this->counters.wastedCancelled += record->computed;
     }
     if (record->decode != noEngine) {
         this->releaseDecode(*record, now);
--- a/decide/cellmessages.h
+++ b/decide/cellmessages.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What goes into and comes out of the decisions of one cell. Plain values; see cellscheduler.h for their use.
+// Inputs and outputs of the decisions of one cell, as plain values. See cellscheduler.h for their use.
 
 #include "fescuesill/errors.h"
 #include "fescuesill/ids.h"
@@ -30,14 +30,14 @@
     }
 };
 
-// Targets and urgency of a request; a lower rank goes first.
+// Targets and urgency of a request. A lower rank is placed first.
 struct RequestClass {
     std::string name;
     int rank = 0;
     Duration firstToken{550ms};
     Duration perToken{71ms};
-    Duration patience{5s}; // how long it may wait in the queue before it is refused
-    double wasteWeight = 1.0; // price of one wasted prefill token against one token of goodput
+    Duration patience{5s}; // maximum time in the queue before the request is refused
+    double wasteWeight = 1.0; // cost of one wasted prefill token relative to one token of goodput
 };
 
 struct PlaceRequest {
@@ -55,11 +55,11 @@
     Pool pool = Pool::Prefill;
     Pieces memory{20};
     DataCentreId dataCentre;
-    std::string link; // engines that name the same link share its rate; empty: a link of its own
-    bool leaving = false; // gets no new work
+    std::string link; // engines with the same link name share its rate; empty: a link of its own
+    bool leaving = false; // draining: gets no new work
 };
 
-// An engine's own word about its load; it lags by `age`.
+// Load as reported by the engine. It lags by `age`.
 struct LoadReport {
     Pieces piecesUsed;
     int running = 0;
@@ -79,12 +79,12 @@
 
 struct PrefillResult {
     Tokens read; // tokens that the engine computed
-    Tokens reused; // tokens that its cache held
-    Duration keep{800ms}; // how long it keeps the result
+    Tokens reused; // tokens found in its cache
+    Duration keep{800ms}; // how long the engine keeps the result
 };
 
 enum class PrefillFault {
-    QueueFull, // 503: the request stays ours to place elsewhere
+    QueueFull, // 503: the request can be placed on another engine
     Unreachable, // no answer: the engine may be slow or dead
 };
 
@@ -94,38 +94,38 @@
     Unreachable,
 };
 
-// What an entry or an engine says is running when a new owner takes the cell over.
+// A request that an entry or an engine reports as running when a new owner takes over the cell.
 struct HeldRequest {
     PlaceRequest request;
     EngineId decodeEngine;
-    Tokens output; // written so far
+    Tokens output; // generated so far
 };
 
-// Read the prompt on one engine, then decode on another.
+// Prefill the prompt on one engine, then decode on another.
 struct Place {
     RequestId request;
     EngineId prefillEngine;
     EngineId decodeEngine;
-    // False: the decode memory is expected to come free by the end of the prefill. Wait for StartDecode; without one by
-    // `expiry` (the scheduler may have died) go to decodeEngine all the same.
+    // False: the decode memory is expected to become free by the end of the prefill, so wait for StartDecode. If none
+    // arrives by `expiry` (the scheduler may have died), start decoding on decodeEngine anyway.
     bool decodeReady = true;
     Instant expiry;
 };
 
-// Memory is free: move the prefill result there and decode. Sent once after a Place that was not ready, and again after
-// a decode that failed while the result was still held.
+// Memory is free: transfer the prefill result to this engine and decode. Sent once after a Place with decodeReady
+// false, and again after a decode that failed while the result was still held.
 struct StartDecode {
     RequestId request;
     EngineId decodeEngine;
 };
 
-// The request is given up; nothing of it runs any more. Final.
+// The request is refused and nothing of it runs any more. Final.
 struct Refuse {
     RequestId request;
     Refusal refusal;
 };
 
-// Proposal to move an engine to the other pool. The owner carries it out under its fencing number.
+// Proposes to move an engine to the other pool. The owner carries it out under its fencing number.
 struct ChangeRole {
     EngineId engine;
     Pool pool = Pool::Prefill;
@@ -133,19 +133,19 @@
 
 using Action = std::variant<Place, StartDecode, Refuse, ChangeRole>;
 
-// The little that other data centres need in order to choose a cell. Spread with the membership; it lags.
+// The state that other data centres need in order to choose a cell. Spread with the membership, so it lags.
 struct CellSummary {
-    std::uint64_t version = 0; // grows with each that is published; 0: none was
+    std::uint64_t version = 0; // increases with each publication; 0: none was published
     Duration queueDelay{0}; // expected wait of a new request before its prefill starts
     Duration prefillPerToken{0};
-    double memoryUse = 0; // share of the decode memory in use or promised, 0..1
+    double memoryUse = 0; // share of the decode memory that is in use or promised, 0 to 1
     Pieces freePieces;
     int decodeEngines = 0; // that take work
     int prefillEngines = 0;
     bool accepting = true;
 };
 
-// What the cell did since it was created.
+// Totals since the cell was created.
 struct CellCounters {
     std::uint64_t submitted = 0;
     std::uint64_t placed = 0;
@@ -153,15 +153,15 @@
     std::uint64_t finished = 0;
     std::uint64_t cancelled = 0;
     std::uint64_t replaced = 0; // placed again after a fault
-    std::uint64_t resumed = 0; // decoded elsewhere from a prefill result still held
-    Tokens promptRead;
+    std::uint64_t resumed = 0; // decoded on another engine from a prefill result that was still held
+    Tokens promptComputed;
     Tokens promptReused;
     Tokens wastedExpired;
     Tokens wastedRedone;
     Tokens wastedCancelled;
     Tokens wastedNoPlace;
     std::uint64_t decisions = 0;
-    std::uint64_t steps = 0; // engines and queue heads looked at
+    std::uint64_t steps = 0; // engines and queue heads examined
 };
 
 } // namespace fescuesill
--- a/decide/cellplacing.cpp
+++ b/decide/cellplacing.cpp
@@ -1,21 +1,21 @@
-// The decisions, in the order in which poll makes them:
+// The decisions, in the order in which poll() makes them:
 //
-//   1. engines that are stalled or slow stop getting work;
-//   2. results that have expired on their prefill engine go back to the queue;
-//   3. results that are ready get the decode memory that is free: most urgent first, then by expiry;
+//   1. engines that are stalled or slow get no more work;
+//   2. requests whose results expired on their prefill engine return to the queue;
+//   3. results that are ready get free decode memory: most urgent first, then by expiry;
 //   4. requests that can no longer meet their target are refused;
-//   5. the head of the queue is placed, as long as a prefill engine has room and its decode memory is foreseen;
-//   6. what waits beyond what can be served in time is refused, the last of the order first;
-//   7. a role change is proposed when one pool has been short for long.
+//   5. the head of the queue is placed while a prefill engine has room and decode memory is forecast for it;
+//   6. requests beyond what can be served in time are refused, the last in order first;
+//   7. a role change is proposed if one pool has been short for long.
 //
-// Reserve before reading. Load: decode memory near full. Harm prevented: a prompt is read, finds no place, its result
-// expires after less than a second, and the read was wasted: at the peak that would be every tenth prompt and more. A
-// request waits before its read, where waiting costs nothing, until its pieces are free or foreseen to come free by the
-// end of the read plus a share of the time that the result is kept.
+// Memory is reserved before the prefill. With decode memory near full, a prompt would otherwise be prefilled, find no
+// memory, and its result would expire after less than a second: at the peak that would waste the prefill of every tenth
+// prompt and more. A request waits before its prefill, where waiting costs nothing, until its pieces are free or are
+// forecast to become free by the end of the prefill plus a share of the time that the result is kept.
 //
-// Late binding. With memory short the decode engine is named only when the read has ended. Bound at once a place stands
-// empty through read and transfer, a twelfth of its time; foreseen, the next place to come free on any engine is taken,
-// and one slow engine holds up nothing but itself.
+// Late binding. With memory short the decode engine is chosen only when the prefill has ended. Memory bound when the
+// request is placed would be unused during prefill and transfer, a twelfth of the time that it is held. With the
+// forecast, the next memory released on any engine is used, and one slow engine delays only its own requests.
 
 #include "decide/cellstate.h"
 
@@ -25,14 +25,14 @@
 namespace fescuesill
 {
 
-// Results looked at in one poll for a place. They are in the order of urgency; beyond these none would find one.
-constexpr int mostReadyTried = 64;
-constexpr Duration pressedTime = 200ms; // about a step and a transfer
-constexpr Duration rateWindow = 1s; // of the rate at which a rank is placed: some fifty requests
-constexpr int mostPassing = 20; // urgent requests: one in twenty is the least share of a lower rank
-constexpr int noUrgency = 1 << 20;
+// Results tried in one poll. They are in order of urgency; results after these would find no memory.
+constexpr int maxReadyTried = 64;
+constexpr Duration deadlineMargin = 200ms;
+constexpr Duration rateWindow = 1s; // time constant of the placing rate of a rank: some fifty requests
+constexpr int maxPlacedPastHead = 20; // urgent requests: a lower rank gets at least one placing in twenty
+constexpr int lowestRank = 1 << 20;
 
-static double fading(Duration age)
+static double decayFactor(Duration age)
 {
     return std::exp(-static_cast<double>(age.count()) / static_cast<double>(rateWindow.count()));
 }
@@ -56,8 +56,8 @@
     return std::exchange(this->actions, {});
 }
 
-// A stalled engine tells nothing, so its silence is what shows. Its requests go elsewhere; when it wakes and reports
-// them done, they are no longer its own and the report is ignored.
+// A stalled engine reports nothing and is detected by the missing reports. Its requests are placed elsewhere. If it
+// resumes and reports them done, they no longer belong to it and the report is ignored.
 void CellState::checkStalls(Instant now)
 {
     this->decodeOutliers.evaluate(now);
@@ -91,16 +91,16 @@
     }
 }
 
-// One transfer at a time on a link, as long as the others can wait. Load: links near their rate. Harm prevented:
-// transfers that share a link all end late, each holding decode memory meanwhile. One that would miss its target, or
-// expire, shares. An urgent one shares with any number: they are few, so they add little to what the others wait.
+// One transfer at a time uses a link, as long as the others can wait: near the rate of a link, transfers that share it
+// all end late, and each holds decode memory meanwhile. A transfer that would miss its target or expire shares the
+// link. Urgent ones share it with any number of others: they are few, so they add little delay to the others.
 bool CellState::linkAllows(const Record &record, Instant now) const
 {
-    const int moving = this->links.moving(this->engines[record.prefill].link, now);
-    // A class in a hurry shares the link at once.
-    const bool hurry = record.request.requestClass.firstToken <= hurried;
-    const bool pressed = hurry || record.readyOrder.by - now < pressedTime;
-    return moving == 0 || isUrgent(record) || (pressed && moving < mostMoving);
+    const int moving = this->links.active(this->engines[record.prefill].link, now);
+    // Interactive classes share the link immediately.
+    const bool interactive = record.request.requestClass.firstToken <= maxInteractiveFirstToken;
+    const bool nearDeadline = interactive || record.readyOrder.by - now < deadlineMargin;
+    return moving == 0 || isUrgent(record) || (nearDeadline && moving < maxConcurrentTransfers);
 }
 
 void CellState::startReady(Instant now)
@@ -108,13 +108,13 @@
     std::vector<std::uint64_t> keys;
     for (const ReadyOrder &order : this->ready) {
         keys.push_back(order.key);
-        if (keys.size() >= mostReadyTried) {
+        if (keys.size() >= maxReadyTried) {
             break;
         }
     }
-    // The first that needs more pieces than any engine has free gets the engine with the most: were the next ones let
-    // by, they would take each single piece as it comes free, and the large one would expire.
-    EngineSlot kept = noEngine;
+    // The first result that needs more pieces than any engine has free reserves the engine with the most free pieces.
+    // Otherwise the results after it would take each single piece as it is released, and the large one would expire.
+    EngineSlot reservedSlot = noEngine;
     for (const std::uint64_t key : keys) {
         Record &record = *this->byKey[key];
         ++this->counters.steps;
@@ -122,10 +122,10 @@
             continue;
         }
         const EngineSlot slot = this->chooseDecode(record.pieces, isUrgent(record), now);
-        if (slot == noEngine && kept == noEngine) {
-            kept = this->mostFree(noEngine);
+        if (slot == noEngine && reservedSlot == noEngine) {
+            reservedSlot = this->mostFree(noEngine);
         }
-        if (slot == noEngine || slot == kept) {
+        if (slot == noEngine || slot == reservedSlot) {
             continue;
         }
         this->leaveReady(record);
@@ -142,8 +142,8 @@
     }
 }
 
-// Refuse early. Load: more work than the cell can do. Harm prevented: requests that wait out their patience and are
-// refused at its end, when their callers could long have gone elsewhere, and a queue so long that all in it are late.
+// Refuses early. Under overload, requests would otherwise wait until the end of their patience and be refused then,
+// although their callers could have tried elsewhere, and the queue would grow so long that every request in it is late.
 void CellState::refuseExcess(Instant now)
 {
     for (const auto &[rank, window] : this->windows) {
@@ -158,31 +158,32 @@
     }
 }
 
-// Rate of pieces placed, each placing fading with the time since.
-void CellState::notePlaced(const Record &record, Instant now)
+// Updates the rate of pieces placed. Each placing decays with its age.
+void CellState::recordPlaced(const Record &record, Instant now)
 {
     PlacedRate &placed = this->placedRates[record.rank];
-    placed.rate = placed.rate * fading(now - placed.since)
+    placed.rate = placed.rate * decayFactor(now - placed.since)
         + static_cast<double>(record.pieces.value()) / static_cast<double>(rateWindow.count());
     placed.since = now;
 }
 
-// More urgent requests that are placed from now on will be ready before one of this rank and take the pieces first.
-// Load: live work in a cell that patient work fills. Harm prevented: patient results wait for places that live ones
-// take, and expire, or take them in their last moment, and the live ones are late.
+// Pieces that more urgent requests, placed from now on, will take before a request of this rank is ready. Without this,
+// in a cell filled by patient work, patient results wait for memory that interactive requests take and expire, or take
+// the memory at the last moment and delay the interactive requests.
 double CellState::urgentDemand(int rank, Duration until, Instant now) const
 {
     double rate = 0;
     for (auto entry = this->placedRates.begin(); entry != this->placedRates.end() && entry->first < rank; ++entry) {
-        rate += entry->second.rate * fading(now - entry->second.since);
+        rate += entry->second.rate * decayFactor(now - entry->second.since);
     }
     return rate * static_cast<double>(until.count());
 }
 
-// Pieces free by then that nobody has been promised. An urgent request takes those that less urgent ones were promised:
-// else in a full cell it would wait for results that it will go before anyway. The forecast is a count of random
-// releases, so its spread is about the root of its mean; the class says how many spreads are held back.
-double CellState::foreseenPieces(const Record &record, Duration until, Instant now) const
+// Pieces that will be free by then and are promised to no other request. An urgent request may take pieces promised to
+// less urgent ones: otherwise, in a full cell, it would wait for results that it overtakes anyway. The forecast counts
+// random releases, so its standard deviation is about the root of its mean; the class sets by how many standard
+// deviations it is reduced.
+double CellState::forecastFreePieces(const Record &record, Duration until, Instant now) const
 {
     const double expected = this->memory.expectedReleases(until);
     const double caution = this->options.caution * record.request.requestClass.wasteWeight;
@@ -192,10 +193,11 @@
     return static_cast<double>((this->memory.totalFree() - promised).value()) + safe - demand;
 }
 
-// Urgent past a blocked head. Load: links or prefill engines near their rate, a patient request at the head for its
-// share of the work, or one that is placed again. Harm prevented: it waits for room that suits it and holds up urgent
-// ones that other room would do for, until they miss their target. The limit keeps the share: urgent work alone above
-// the capacity takes each place as it comes free, so after so many the head waits at the front again.
+// Places urgent requests past a blocked head. With links or prefill engines near their rate, the head may be a patient
+// request that is due for its share of the work, or one that is placed again. While it waits for suitable room it would
+// delay urgent requests that could use other room, until they miss their target. The limit preserves the share: urgent
+// work alone above the capacity would take all memory as it is released, so after this many urgent requests the head is
+// the only candidate again.
 bool CellState::placeNext(Instant now)
 {
     const QueueItem *head = this->queue.head();
@@ -203,14 +205,15 @@
         return false;
     }
     if (this->tryPlace(*head, now)) {
-        this->passedHead = 0;
+        this->placedPastHead = 0;
         return true;
     }
     const QueueItem *urgent = this->queue.head(0);
-    if (urgent == nullptr || urgent == head || this->passedHead >= mostPassing || !this->tryPlace(*urgent, now)) {
+    if (urgent == nullptr || urgent == head || this->placedPastHead >= maxPlacedPastHead
+        || !this->tryPlace(*urgent, now)) {
         return false;
     }
-    ++this->passedHead;
+    ++this->placedPastHead;
     return true;
 }
 
@@ -222,15 +225,16 @@
         return false;
     }
     const Pieces unpromised = this->memory.totalFree() - this->promised;
-    const double early = this->options.bindEarly * static_cast<double>(this->memory.total().value());
+    const double early = this->options.earlyBindFreeShare * static_cast<double>(this->memory.total().value());
     EngineSlot decode = noEngine;
     if (static_cast<double>(unpromised.value()) >= early && choice.linkWait == Duration(0)) {
         decode = this->chooseDecode(record.pieces, isUrgent(record), now);
     }
     if (decode == noEngine) {
         const auto wait = std::chrono::duration_cast<Duration>(this->options.keep * this->options.keepShare);
-        const double foreseen = this->foreseenPieces(record, choice.ahead + choice.read + choice.linkWait + wait, now);
-        if (foreseen < static_cast<double>(record.pieces.value())) {
+        const double forecast =
+            this->forecastFreePieces(record, choice.ahead + choice.prefill + choice.linkWait + wait, now);
+        if (forecast < static_cast<double>(record.pieces.value())) {
             return false;
         }
     }
@@ -243,20 +247,21 @@
 {
     ++this->counters.placed;
     record.placedAt = now;
-    this->notePlaced(record, now);
+    this->recordPlaced(record, now);
     ++this->counters.decisions;
     this->admissionOf(record.rank).onPlaced(record.cost, this->queue.backlogAt(record.rank) > Duration(0), now);
-    record.stage = Stage::Reading;
+    record.stage = Stage::Prefilling;
     record.prefill = choice.slot;
     record.matched = choice.matched;
     const Tokens known(static_cast<std::int64_t>(choice.matched) * this->options.prefixBlock.value());
     const Tokens context = this->contextOf(record);
-    this->prefills.add(choice.slot, record.key, record.rank, this->readTime(std::max(Tokens(0), context - known)), now);
+    this->prefills.add(choice.slot, record.key, record.rank, this->prefillTime(std::max(Tokens(0), context - known)),
+                       now);
 
     EngineState &engine = this->engines[choice.slot];
     engine.lastPlaced = now;
-    const Instant end = now + choice.ahead + choice.read;
-    this->reserveMove(record);
+    const Instant end = now + choice.ahead + choice.prefill;
+    this->reserveTransfer(record);
     const bool bound = decode != noEngine;
     if (bound) {
         this->holdDecode(record, decode, now);
@@ -282,14 +287,14 @@
     if (!pool) {
         return;
     }
-    // The engine of the other pool with the least to finish.
+    // The engine of the other pool with the least work left.
     EngineSlot chosen = noEngine;
     if (*pool == Pool::Prefill) {
         chosen = this->mostFree(noEngine);
     } else {
         for (const EngineSlot slot : this->prefillSlots) {
             const bool less = chosen == noEngine
-                || this->prefills.ahead(slot, noUrgency, now) < this->prefills.ahead(chosen, noUrgency, now);
+                || this->prefills.ahead(slot, lowestRank, now) < this->prefills.ahead(chosen, lowestRank, now);
             chosen = this->takesWork(slot) && less ? slot : chosen;
         }
     }
--- a/decide/cellscheduler.cpp
+++ b/decide/cellscheduler.cpp
@@ -1,5 +1,5 @@
-// The public face of CellState: it checks options and events and leaves the decisions to it. The order of the work is
-// described at the head of cellplacing.cpp.
+// The public interface of CellState: validates the options and forwards all calls. The order of the decisions is
+// described at the top of cellplacing.cpp.
 
 #include "decide/cellscheduler.h"
 
--- a/decide/cellstate.cpp
+++ b/decide/cellstate.cpp
@@ -1,12 +1,12 @@
-// Requests of a cell. Every request is a Record in one Stage; the helpers here move a record from one stage
-// to the next and keep the tables that belong to a stage in step with it:
+// The requests of a cell. Every request is a Record in one Stage. The functions here move a record from one stage to
+// the next and keep the tables that belong to a stage consistent with it:
 //
-//     Waiting   in the queue
-//     Reading   a job of a prefill engine; its pieces are promised, or held if it was bound at once
-//     Ready     in `ready`; its pieces are promised
-//     Decoding  its pieces are held on one engine
+//     Waiting     in the queue
+//     Prefilling  a job of a prefill engine; its pieces are promised, or held if it was bound when placed
+//     Ready       in `ready`; its pieces are promised
+//     Decoding    its pieces are held on one engine
 //
-// Work done for a record that has to start again is counted as wasted prefill by its cause, once, where it leaves the
+// Prefill work of a record that has to start again is counted as wasted by its cause, once, when the record leaves the
 // stage.
 
 #include "decide/cellstate.h"
@@ -17,13 +17,14 @@
 namespace fescuesill
 {
 
-constexpr double outputWeight = 0.05; // of one answer in the learnt output length of its class
-constexpr double outputMargin = 2.0; // mean distances above the mean that are reserved: some 95% of answers fit
-constexpr double delayMargin = 1.0; // spreads above the mean delay that are kept for the way to the first token
-constexpr double delayKept = 2e6; // microseconds: a delay learnt longer ago than a burst lasts says little
-constexpr double firstTransferTokens = 2000; // of the assumed transfer before any was measured
-constexpr int resumedRank = -1; // work that was begun and has to be placed again: most of its cost is already paid
-constexpr int hopelessRankStep = 1000;
+constexpr double outputWeight = 0.05; // weight of one answer in the output length of its class
+constexpr double outputMargin = 2.0; // mean deviations above the mean that are reserved: some 95% of answers fit
+constexpr double delayMargin = 1.0; // mean deviations added to the mean delay to the first token
+// about the length of a burst: an older delay no longer predicts the present one
+constexpr double delayDecayMicros = 2e6;
+constexpr double assumedTransferTokens = 2000; // weight of the configured rate, as one transfer of this length
+constexpr int requeuedRank = -1; // a request that is placed again: most of its cost is already paid
+constexpr int unmeetableRankOffset = 1000;
 
 CellState::CellState(const CellScheduler::Options &options)
     : options(options)
@@ -36,8 +37,8 @@
     , roles(options.roles)
     , retries(options.retries)
     , transferMicros(static_cast<double>(options.transferPerToken.count()))
-    , movedMicros(firstTransferTokens * static_cast<double>(options.transferPerToken.count()))
-    , movedTokens(firstTransferTokens)
+    , transferredMicros(assumedTransferTokens * static_cast<double>(options.transferPerToken.count()))
+    , transferredTokens(assumedTransferTokens)
     , stepMicros(static_cast<double>(options.decodeStep.count()))
 {
 }
@@ -48,16 +49,15 @@
     return found == this->records.end() ? nullptr : &found->second;
 }
 
-// Only what is placed teaches the delay. Load: a moment in which the way took longer than the target leaves. Harm
-// prevented: with that as the margin all are refused, none is placed, and the margin stays for ever. So it fades while
-// nothing is learnt.
-double CellState::Delay::likely(Instant now) const
+// The delay is updated only by requests that are placed. If it grew longer than the target leaves, every request would
+// be refused, none would be placed and the delay would never be corrected. So it decays while it is not updated.
+double CellState::Delay::expected(Instant now) const
 {
-    const double kept = std::exp(-static_cast<double>((now - this->learnt).count()) / delayKept);
+    const double kept = std::exp(-static_cast<double>((now - this->updated).count()) / delayDecayMicros);
     return std::max(0.0, this->mean + delayMargin * this->spread) * kept;
 }
 
-Duration CellState::readTime(Tokens tokens) const
+Duration CellState::prefillTime(Tokens tokens) const
 {
     return this->options.prefillBase + this->options.prefillPerToken * tokens.value();
 }
@@ -86,9 +86,9 @@
     this->outputs[request.requestClass.name] = length;
 }
 
-// Memory grows as the answer lengthens. Load: full engines. Harm prevented: an answer that finds no piece for its next
-// token stalls, and with it goes its per-token target. So what nearly all answers of the class need is held from the
-// start; it is rarely one piece more than the prompt takes.
+// The memory of a request grows with its output. On a full engine, an answer that finds no piece for its next token
+// stalls and misses its per-token target. So what nearly all answers of the class need is held from the start; it is
+// rarely one piece more than the prompt takes.
 Pieces CellState::piecesOf(const Record &record) const
 {
     const OutputLength length = this->outputLength(record.request);
@@ -99,21 +99,21 @@
     return largest > Pieces(0) ? std::min(need, largest) : need;
 }
 
-// The share of the cell's time that a request takes: of the prefill engines' and of the decode memory's.
+// The share of the cell's time that a request takes, of the prefill engines and of the decode memory.
 Duration CellState::costOf(const Record &record) const
 {
     const auto prefillCount = static_cast<Duration::rep>(std::max<std::size_t>(1, this->prefillSlots.size()));
-    const Duration read = this->readTime(this->contextOf(record)) / prefillCount;
+    const Duration prefill = this->prefillTime(this->contextOf(record)) / prefillCount;
     const double hold = this->outputLength(record.request).mean * this->stepMicros;
     const double share = static_cast<double>(record.pieces.value())
         / static_cast<double>(std::max<std::int64_t>(1, this->memory.total().value()));
-    return read + Duration(static_cast<Duration::rep>(hold * share));
+    return prefill + Duration(static_cast<Duration::rep>(hold * share));
 }
 
-// What the cache that holds most of the prompt spares. Load: prompts behind preambles that all engines hold. Harm
-// prevented: judged by its whole length, a live prompt of 3,000 tokens is refused as hopeless although half of it need
-// not be read.
-Tokens CellState::likelyReused(const PlaceRequest &request)
+// The longest part of the prompt that some engine's cache holds. Judged by its whole length, an interactive prompt of
+// 3,000 tokens behind a preamble that all engines hold would count as unable to meet its target, although half of it is
+// not computed again.
+Tokens CellState::expectedReuse(const PlaceRequest &request)
 {
     this->counters.steps += this->prefixes.match(request.prefix, this->matches);
     std::size_t most = 0;
@@ -124,12 +124,12 @@
     return std::min(held, std::max(Tokens(0), request.prompt - Tokens(1)));
 }
 
-// From the start of the read to the first token, with nothing in the way.
+// Time from the start of the prefill to the first token, without any waiting.
 Duration CellState::serviceTime(const Record &record) const
 {
     const double transfer = this->transferMicros * static_cast<double>(record.request.prompt.value());
     const double step = stepsToFirstToken * this->stepMicros;
-    return this->readTime(record.request.prompt - record.reused)
+    return this->prefillTime(record.request.prompt - record.reused)
         + Duration(static_cast<Duration::rep>(transfer + step));
 }
 
@@ -158,21 +158,21 @@
 {
     const RequestClass &requestClass = record.request.requestClass;
     record.stage = Stage::Waiting;
-    record.reused = this->likelyReused(record.request);
+    record.reused = this->expectedReuse(record.request);
     record.pieces = this->piecesOf(record);
     record.cost = this->costOf(record);
     record.rank = rank;
-    const Delay &delay = isUrgent(record) ? this->urgentDelay : this->hurriedDelay;
-    const double late = delay.likely(now);
-    const Duration least = this->serviceTime(record);
-    const Duration service = least + Duration(static_cast<Duration::rep>(late));
+    const Delay &delay = isUrgent(record) ? this->urgentDelay : this->interactiveDelay;
+    const double extra = delay.expected(now);
+    const Duration nominal = this->serviceTime(record);
+    const Duration service = nominal + Duration(static_cast<Duration::rep>(extra));
     if (record.answered) {
         record.latest = now + requestClass.patience;
-    } else if (least > requestClass.firstToken) {
-        // No cell could meet this target. Refused it would be refused for ever, and served by rank it would cost others
-        // theirs: it goes last, as long as its caller waits.
+    } else if (nominal > requestClass.firstToken) {
+        // No cell could meet this target, so a retry would be refused as well, and placing by rank would delay other
+        // requests. It is served after all others, within its patience.
         record.latest = record.request.arrival + requestClass.patience;
-        record.rank = rank == resumedRank ? rank : rank + hopelessRankStep;
+        record.rank = rank == requeuedRank ? rank : rank + unmeetableRankOffset;
     } else {
         record.latest = record.request.arrival + std::min(requestClass.patience, requestClass.firstToken - service);
     }
@@ -185,9 +185,9 @@
 {
     this->prefills.remove(record.prefill, record.key, now);
     if (record.decode == noEngine) {
-        this->takeBack(record);
+        this->releasePromise(record);
     }
-    this->endMove(record);
+    this->endTransfer(record);
 }
 
 bool CellState::isUrgent(const Record &record)
@@ -201,7 +201,7 @@
     this->promisedUrgent += isUrgent(record) ? record.pieces : Pieces(0);
 }
 
-void CellState::takeBack(const Record &record)
+void CellState::releasePromise(const Record &record)
 {
     this->promised -= record.pieces;
     this->promisedUrgent -= isUrgent(record) ? record.pieces : Pieces(0);
@@ -214,17 +214,17 @@
     const RequestClass &requestClass = record.request.requestClass;
     const Instant target = record.request.arrival + requestClass.firstToken - record.transfer;
     const bool late = record.answered || target > record.keepUntil;
-    const int hurry = requestClass.firstToken > hurried ? 2 : 1;
-    record.readyOrder = {isUrgent(record) ? 0 : hurry, late ? record.keepUntil : target, record.key};
+    const int order = requestClass.firstToken > maxInteractiveFirstToken ? 2 : 1;
+    record.readyOrder = {isUrgent(record) ? 0 : order, late ? record.keepUntil : target, record.key};
     this->ready.insert(record.readyOrder);
 }
 
 void CellState::startDecoding(Record &record, Instant now)
 {
     record.stage = Stage::Decoding;
-    record.begun = true;
+    record.decodeStarted = true;
     record.decodeSince = now;
-    this->beginMove(record, now);
+    this->beginTransfer(record, now);
     EngineState &engine = this->engines[record.decode];
     engine.progressAt = engine.decoding == 0 ? now : engine.progressAt;
     ++engine.decoding;
@@ -233,7 +233,7 @@
 void CellState::leaveReady(Record &record)
 {
     this->ready.erase(record.readyOrder);
-    this->takeBack(record);
+    this->releasePromise(record);
 }
 
 void CellState::holdDecode(Record &record, EngineSlot slot, Instant now)
@@ -244,7 +244,7 @@
     ++this->engines[slot].running;
 }
 
-void CellState::reserveMove(Record &record)
+void CellState::reserveTransfer(Record &record)
 {
     if (!record.reserved) {
         record.reserved = true;
@@ -254,51 +254,51 @@
     }
 }
 
-void CellState::beginMove(Record &record, Instant now)
+void CellState::beginTransfer(Record &record, Instant now)
 {
-    // One taken over from another owner has moved already, and from where is not known.
+    // A request taken over from another owner has been transferred already, and its prefill engine is unknown.
     if (record.prefill == noEngine) {
         return;
     }
-    this->reserveMove(record);
-    record.moving = true;
+    this->reserveTransfer(record);
+    record.transferring = true;
     const std::size_t link = this->engines[record.prefill].link;
-    record.linkAlone = this->links.moving(link, now) == 0;
+    record.linkExclusive = this->links.active(link, now) == 0;
     this->links.begin(link, record.transfer, now);
-    record.linkShared = this->links.shared(link);
+    record.linkOverlaps = this->links.overlaps(link);
 }
 
-void CellState::endMove(Record &record)
+void CellState::endTransfer(Record &record)
 {
     if (!record.reserved) {
         return;
     }
     const std::size_t link = this->engines[record.prefill].link;
-    if (record.moving) {
-        record.linkAlone = record.linkAlone && this->links.shared(link) == record.linkShared;
+    if (record.transferring) {
+        record.linkExclusive = record.linkExclusive && this->links.overlaps(link) == record.linkOverlaps;
         this->links.end(link);
     } else {
-        this->links.giveBack(link, record.transfer);
+        this->links.cancelReservation(link, record.transfer);
     }
     record.reserved = false;
-    record.moving = false;
+    record.transferring = false;
 }
 
 void CellState::releaseDecode(Record &record, Instant now)
 {
     this->memory.release(record.decode, record.pieces, now - record.heldSince, now);
     EngineState &engine = this->engines[record.decode];
-    this->endMove(record);
+    this->endTransfer(record);
     --engine.running;
     engine.decoding -= record.stage == Stage::Decoding ? 1 : 0;
     record.decode = noEngine;
 }
 
-// Begins again from the prompt. The budget bounds it: a cell whose engines all fail must not read every prompt again
-// and again.
+// Restarts the request from the prompt. The retry budget limits this, so that a cell whose engines all fail does not
+// repeat every prefill.
 void CellState::requeue(Record &record, Tokens &wasted, RefusalCode code, Instant now)
 {
-    if (record.stage == Stage::Reading) {
+    if (record.stage == Stage::Prefilling) {
         this->leavePrefill(record, now);
     } else if (record.stage == Stage::Ready) {
         this->leaveReady(record);
@@ -306,9 +306,9 @@
     if (record.decode != noEngine) {
         this->releaseDecode(record, now);
     }
-    this->endMove(record);
-    wasted += record.read;
-    record.read = Tokens(0);
+    this->endTransfer(record);
+    wasted += record.computed;
+    record.computed = Tokens(0);
     record.prefill = noEngine;
     const bool inTime = record.answered || now <= record.latest;
     if (++record.attempts >= this->options.attempts || !inTime || !this->retries.take()) {
@@ -316,7 +316,7 @@
         return;
     }
     ++this->counters.replaced;
-    this->enqueue(record, resumedRank, now);
+    this->enqueue(record, requeuedRank, now);
 }
 
 void CellState::refuse(RequestId request, RefusalCode code, const char *text, Instant now)
@@ -324,7 +324,7 @@
     ++this->counters.refused;
     Refusal refusal{code, RunState::NotRun, text, std::nullopt};
     if (Record *record = this->find(request)) {
-        refusal.run = record->begun ? RunState::MayHaveRun : RunState::NotRun;
+        refusal.run = record->decodeStarted ? RunState::MayHaveRun : RunState::NotRun;
         Admission &admission = this->admissionOf(record->rank);
         refusal.retryAfter = admission.retryAfter(this->queue.backlogAt(record->rank), record->cost, now);
         this->erase(*record);
@@ -367,7 +367,7 @@
     for (const EngineSlot slot : this->prefillSlots) {
         if (this->prefills.usable(slot)) {
             ++summary.prefillEngines;
-            least = std::min(least, this->prefills.ahead(slot, hopelessRankStep, now));
+            least = std::min(least, this->prefills.ahead(slot, unmeetableRankOffset, now));
         }
     }
     summary.queueDelay = summary.prefillEngines > 0 ? backlog + least : Duration(0);
--- a/decide/cellstate.h
+++ b/decide/cellstate.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The state behind CellScheduler. cellengines.cpp keeps the engines, cellstate.cpp the requests, cellevents.cpp takes
-// the events, cellchoosing.cpp chooses engines and cellplacing.cpp makes the decisions.
+// The implementation of CellScheduler. cellengines.cpp maintains the engines, cellstate.cpp the requests,
+// cellevents.cpp processes events, cellchoosing.cpp chooses engines and cellplacing.cpp makes the decisions.
 
 #include "decide/cellscheduler.h"
 #include "decide/linkschedule.h"
@@ -13,15 +13,15 @@
 namespace fescuesill
 {
 
-// A request joins a batch in the middle of a step and has its first token at the end of the next.
+// A request joins a batch on average in the middle of a step and has its first token at the end of the next.
 constexpr double stepsToFirstToken = 1.5;
 
-constexpr Duration refreshInterval = 20ms; // of figures that change slowly: a tenth of the outliers' interval
-// A class with a first-token target up to this is in a hurry: what it waits for on its way decides whether it is met.
-constexpr Duration hurried = 1s;
+constexpr Duration refreshInterval = 20ms; // of state that changes slowly: a tenth of the outliers' interval
+// A class with a first-token target up to this is interactive: delays after its placement decide whether it meets the
+// target.
+constexpr Duration maxInteractiveFirstToken = 1s;
 
-constexpr int mostMoving =
-    3; // transfers on one link that do not wait for one another; with more none would arrive in time
+constexpr int maxConcurrentTransfers = 3; // transfers that may share one link; with more, none would finish in time
 
 class CellState
 {
@@ -52,13 +52,13 @@
 private:
     enum class Stage {
         Waiting, // before prefill, in the queue
-        Reading, // placed on a prefill engine
-        Ready, // read; waits for decode memory
+        Prefilling, // placed on a prefill engine
+        Ready, // prefill done; waits for decode memory
         Decoding,
     };
 
     struct ReadyOrder {
-        int rank = 0; // 0 for urgent, 1 for other classes in a hurry, 2 for patient ones
+        int rank = 0; // 0: urgent, 1: other interactive classes, 2: the rest
         Instant by; // when it expires or misses its target
         std::uint64_t key = 0;
 
@@ -78,11 +78,11 @@
         int rank = 0;
         int attempts = 0;
         EngineSlot prefill = noEngine;
-        EngineSlot decode = noEngine; // with pieces held there
+        EngineSlot decode = noEngine;
         std::size_t matched = 0; // blocks expected in the prefill engine's cache
-        Tokens reused; // likely, when it came in
-        Tokens read; // tokens of the last read
-        Duration transfer{0}; // counted on the link
+        Tokens reused; // expected when it was enqueued
+        Tokens computed; // by the last prefill
+        Duration transfer{0}; // transfer time reserved on the link
         Instant keepUntil;
         ReadyOrder readyOrder;
         Instant placedAt;
@@ -91,22 +91,22 @@
         Instant progressAt;
         Tokens output;
         bool reserved = false; // its transfer is reserved on the link
-        bool moving = false; // and under way
-        bool begun = false; // a decode was started
+        bool transferring = false; // its transfer is in progress
+        bool decodeStarted = false;
         bool answered = false; // has had a first token
-        bool linkAlone = false; // its transfer had the link for itself
-        std::uint64_t linkShared = 0; // when it began, see LinkSchedule::shared
+        bool linkExclusive = false; // no other transfer used the link at the same time
+        std::uint64_t linkOverlaps = 0; // LinkSchedule::overlaps when the transfer began
     };
 
     struct EngineState {
         EngineSpec spec;
         std::size_t link = 0;
         bool listed = false; // in the declaration
-        bool lost = false; // no word from it since lostAt
+        bool lost = false; // nothing reported since lostAt
         Instant lostAt;
         bool changing = false; // a role change was proposed
         std::string instance;
-        int running = 0; // with pieces held here
+        int running = 0; // requests with pieces held here
         int decoding = 0;
         Instant progressAt;
         Instant lastPlaced;
@@ -121,7 +121,7 @@
         EngineSlot slot = noEngine;
         std::size_t matched = 0;
         Duration ahead{0};
-        Duration read{0};
+        Duration prefill{0};
         Duration linkWait{0};
         Duration score{0};
     };
@@ -137,8 +137,8 @@
     // Requests.
     Record *find(const RequestId &request);
     Duration serviceTime(const Record &record) const;
-    Tokens likelyReused(const PlaceRequest &request);
-    Duration readTime(Tokens tokens) const;
+    Tokens expectedReuse(const PlaceRequest &request);
+    Duration prefillTime(Tokens tokens) const;
     Pieces piecesOf(const Record &record) const;
     Duration costOf(const Record &record) const;
     Tokens contextOf(const Record &record) const;
@@ -146,7 +146,7 @@
     void learnOutput(const PlaceRequest &request, Tokens output);
     void enqueue(Record &record, int rank, Instant now);
     void requeue(Record &record, Tokens &wasted, RefusalCode code, Instant now);
-    // By value: the id may be part of the record that is erased.
+    // The id is passed by value: it may be part of the record that is erased.
     void refuse(RequestId request, RefusalCode code, const char *text, Instant now);
     void erase(Record &record);
     void leavePrefill(Record &record, Instant now);
@@ -155,12 +155,12 @@
     void leaveReady(Record &record);
     void holdDecode(Record &record, EngineSlot slot, Instant now);
     void releaseDecode(Record &record, Instant now);
-    void reserveMove(Record &record);
-    void beginMove(Record &record, Instant now);
-    void endMove(Record &record);
+    void reserveTransfer(Record &record);
+    void beginTransfer(Record &record, Instant now);
+    void endTransfer(Record &record);
     static bool isUrgent(const Record &record);
     void promise(const Record &record);
-    void takeBack(const Record &record);
+    void releasePromise(const Record &record);
     Duration linkWait(const Record &record, EngineSlot slot, Duration ready, Instant now) const;
     bool linkAllows(const Record &record, Instant now) const;
     void learnTransfer(const Record &record, Instant now);
@@ -178,9 +178,9 @@
     PrefillChoice choosePrefill(const Record &record, Instant now);
     EngineSlot chooseDecode(Pieces pieces, bool urgent, Instant now) const;
     EngineSlot mostFree(EngineSlot except) const;
-    double foreseenPieces(const Record &record, Duration until, Instant now) const;
+    double forecastFreePieces(const Record &record, Duration until, Instant now) const;
     double urgentDemand(int rank, Duration until, Instant now) const;
-    void notePlaced(const Record &record, Instant now);
+    void recordPlaced(const Record &record, Instant now);
     void place(Record &record, const PrefillChoice &choice, EngineSlot decode, Instant now);
     void shiftRoles(Instant now);
     Admission &admissionOf(int rank);
@@ -201,37 +201,37 @@
     RoleShift roles;
     RetryBudget retries;
     std::map<int, Admission> admissions; // by rank
-    std::map<int, Duration> windows; // by rank: how long the last one submitted could wait
+    std::map<int, Duration> windows; // by rank: time from enqueueing to the latest start of the last request submitted
 
     std::unordered_map<RequestId, Record> records;
     std::unordered_map<std::uint64_t, Record *> byKey;
     std::set<ReadyOrder> ready;
-    Pieces promised; // to requests that read or are ready and hold nothing yet
-    Pieces promisedUrgent; // to the urgent ones of these
-    int passedHead = 0; // urgent requests placed since the head could not be
+    Pieces promised; // to requests in prefill or ready that hold no pieces yet
+    Pieces promisedUrgent; // share of `promised` that belongs to urgent requests
+    int placedPastHead = 0; // urgent requests placed while the head could not be
     std::uint64_t nextKey = 1;
     std::map<std::string, OutputLength> outputs; // by class name, from the declaration
 
-    double transferMicros; // for each token, measured as movedMicros / movedTokens
-    double movedMicros;
-    double movedTokens;
-    double stepMicros; // of decode engines, measured
-    // Pieces placed for each rank, by microsecond: what more urgent work will take meanwhile.
+    double transferMicros; // per token, measured as transferredMicros / transferredTokens
+    double transferredMicros;
+    double transferredTokens;
+    double stepMicros; // mean step of the decode engines, measured
+    // Pieces placed for each rank, per microsecond: an estimate of what more urgent requests will take.
     struct PlacedRate {
         double rate = 0;
         Instant since;
     };
     std::map<int, PlacedRate> placedRates;
-    // From placing to the first token, beyond the nominal service time, in microseconds.
+    // Time from placing to the first token beyond the nominal service time, in microseconds.
     struct Delay {
         double mean = 0;
         double spread = 0;
-        Instant learnt;
+        Instant updated;
 
-        double likely(Instant now) const;
+        double expected(Instant now) const;
     };
     Delay urgentDelay;
-    Delay hurriedDelay; // of the other classes in a hurry
+    Delay interactiveDelay; // of the other interactive classes
     std::vector<Action> actions;
     std::vector<PrefixIndex::Match> matches;
     std::vector<std::size_t> matchedBlocks; // by slot, all 0 between uses
--- a/decide/classqueue.cpp
+++ b/decide/classqueue.cpp
@@ -1,21 +1,21 @@
 // Three levels: rank, workspace, request.
 //
-// Ranks: the most urgent rank with work goes first. Load: urgent and live work together above capacity. Harm prevented:
-// patient work starves. Each placed request credits every less urgent waiting rank with a share of its cost; a rank
-// whose credit covers the cost of its head goes next. So in any interval a waiting rank gets at least that share of the
-// work, less one request, and a more urgent one loses no more than that. (Deadlines alone do not do it: patient work
-// would only be served when already late.)
+// Ranks: the most urgent rank with work is served first. So that patient work does not starve while urgent work alone
+// exceeds the capacity, each placed request credits every less urgent waiting rank with a share of its cost; a rank
+// whose credit covers the cost of its head is served next. So in any interval a waiting rank gets at least that share
+// of the work, less one request, and a more urgent one loses no more than that. Deadlines alone do not achieve this:
+// patient work would be served only when already late.
 //
-// Workspaces: start-time fair queueing. Load: one workspace sends far more than the others. Harm prevented: its
-// requests fill the queue and those of the others miss their targets. Each workspace has a virtual time, the work
-// placed for it; the smallest goes next. One that was away starts no earlier than the rank's virtual time: it saves
-// nothing up.
+// Workspaces: start-time fair queueing. Without it, a workspace that sends far more than the others would fill the
+// queue and the requests of the others would miss their targets. Each workspace has a virtual time, the work placed for
+// it; the smallest is served next. A workspace that was idle starts no earlier than the rank's virtual time, so it
+// accumulates no credit.
 //
-// Requests of one workspace: by arrival plus a stretch that grows with the cost (see Options::shortFirst). Load: more
-// work than the cell can do. Harm prevented: one long prompt takes the places of several short ones, whose callers are
-// refused.
+// Requests of one workspace: ordered by arrival plus an offset that grows with the cost (see Options::shortFirst).
+// Under overload one long prompt would otherwise take the capacity of several short ones, which would be refused.
 //
-// Dropping takes the last request of the workspace with the most work waiting, so a flood displaces itself.
+// takeLast() removes the last request of the workspace with the most work waiting, so a workspace that floods the queue
+// displaces its own requests.
 
 #include "decide/classqueue.h"
 
@@ -24,9 +24,9 @@
 namespace fescuesill
 {
 
-constexpr double meanWeight = 0.02; // of one request in the mean cost of its rank
-// Workspaces remembered while they have nothing waiting. Beyond it one is only treated as new, which costs fairness for
-// a moment; the names come from callers, so there must be a bound.
+constexpr double meanWeight = 0.02; // weight of one request in the mean cost of its rank
+// Maximum number of workspaces remembered while they have nothing waiting. Workspace names come from callers, so the
+// table must be bounded. A workspace beyond the bound is treated as new, which costs fairness for a moment.
 constexpr std::size_t maxAhead = 10000;
 
 void ClassQueue::setBacklog(Rank &rank, const WorkspaceId &workspace, Flow &flow, Duration backlog)
@@ -37,7 +37,7 @@
     rank.byBacklog.insert({flow.backlog, workspace});
 }
 
-Duration ClassQueue::stretch(Rank &rank, const QueueItem &item) const
+Duration ClassQueue::costOffset(Rank &rank, const QueueItem &item) const
 {
     const auto cost = static_cast<double>(item.cost.count());
     rank.meanCost += rank.meanCost > 0 ? meanWeight * (cost - rank.meanCost) : cost;
@@ -52,7 +52,7 @@
         return;
     }
     Rank &rank = this->ranks[item.rank];
-    const Position position{item.arrival + this->stretch(rank, item), this->nextSequence++};
+    const Position position{item.arrival + this->costOffset(rank, item), this->nextSequence++};
     this->items.emplace(item.request, Entry{item, position});
     const auto [found, added] = rank.flows.try_emplace(item.workspace);
     Flow &flow = found->second;
@@ -66,7 +66,7 @@
     this->byLatest.insert({item.latest, item.request});
 }
 
-void ClassQueue::take(Items::iterator entry)
+void ClassQueue::removeEntry(Items::iterator entry)
 {
     const QueueItem item = entry->second.item;
     Rank &rank = this->ranks[item.rank];
@@ -96,7 +96,7 @@
     if (found == this->items.end()) {
         return false;
     }
-    this->take(found);
+    this->removeEntry(found);
     return true;
 }
 
@@ -155,17 +155,17 @@
     rank.byServed.erase({flow.served, item.workspace});
     flow.served += item.cost;
     rank.byServed.insert({flow.served, item.workspace});
-    bool owed = false;
+    bool moreUrgentWaiting = false;
     for (auto &[number, other] : this->ranks) {
         if (number == served) {
             // Served on its credit while a more urgent rank waited.
-            other.credit = owed ? other.credit - item.cost : other.credit;
+            other.credit = moreUrgentWaiting ? other.credit - item.cost : other.credit;
         } else if (number > served && !other.flows.empty()) {
             other.credit += std::chrono::duration_cast<Duration>(item.cost * this->options.lowRankShare);
         }
-        owed = owed || !other.flows.empty();
+        moreUrgentWaiting = moreUrgentWaiting || !other.flows.empty();
     }
-    this->take(this->items.find(item.request));
+    this->removeEntry(this->items.find(item.request));
 }
 
 std::vector<QueueItem> ClassQueue::takeExpired(Instant now)
@@ -174,7 +174,7 @@
     while (!this->byLatest.empty() && this->byLatest.begin()->first < now) {
         const auto found = this->items.find(this->byLatest.begin()->second);
         expired.push_back(found->second.item);
-        this->take(found);
+        this->removeEntry(found);
     }
     return expired;
 }
@@ -196,7 +196,7 @@
         return std::nullopt;
     }
     QueueItem item = *found;
-    this->take(this->items.find(item.request));
+    this->removeEntry(this->items.find(item.request));
     return item;
 }
 
--- a/decide/classqueue.h
+++ b/decide/classqueue.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Requests that wait before prefill, in the order in which they are to be placed.
+// The requests that wait for prefill, in the order in which they are to be placed.
 //
 //     ClassQueue queue(ClassQueue::Options{});
 //     queue.push({request, workspace, rank, cost, arrival, latest});
@@ -24,23 +24,23 @@
     RequestId request;
     WorkspaceId workspace;
     int rank = 0; // lower goes first
-    Duration cost{0}; // of the cell's time: what placing this one takes from the others
+    Duration cost{0}; // share of the cell's time that the request takes
     Instant arrival;
-    Instant latest; // placed later than this it misses its target
+    Instant latest; // if placed later, the request misses its target
 };
 
 class ClassQueue
 {
 public:
     struct Options {
-        // Share of the placed work that each less urgent rank gets while more urgent ones have work waiting. At twice
-        // the capacity with urgent work alone above it, patient work still completes; urgent work pays at most this
+        // Share of the placed work that each less urgent rank gets while more urgent ones have work waiting. Even with
+        // urgent work alone at twice the capacity, patient work still completes, and urgent work loses at most this
         // share.
         double lowRankShare = 0.05;
-        // Within a workspace a request goes by its arrival plus up to this share of the time it may wait: none for a
-        // cheap one, half of it for one of mean cost, nearly all for a dear one. 0 is first come, first served. In
-        // overload this completes more requests, since the dear ones are refused first; below 1 age still brings each
-        // to the front.
+        // Within a workspace a request is ordered by its arrival plus up to this share of the time that it may wait:
+        // none for a cheap request, half of the share for one of mean cost, nearly all of it for an expensive one. 0 is
+        // first come, first served. Under overload this completes more requests, since the expensive ones are refused
+        // first; below 1, age still brings each request to the front.
         double shortFirst = 0.9;
     };
 
@@ -51,18 +51,18 @@
 
     void push(const QueueItem &item);
     bool remove(const RequestId &request);
-    // The next to place; null when nothing waits.
+    // The next request to place; null when nothing waits.
     const QueueItem *head() const;
-    // Of one rank; null when nothing of it waits.
+    // The next request of one rank; null when none of it waits.
     const QueueItem *head(int rank) const;
     void pop();
-    // Takes the head of one rank.
+    // Removes the head of one rank.
     void pop(int rank);
-    // Removes those whose latest start has passed.
+    // Removes the requests whose latest start has passed.
     std::vector<QueueItem> takeExpired(Instant now);
-    // Removes the one that goes last within a rank, from the workspace with the most work waiting.
+    // Removes the last request of a rank, from the workspace with the most work waiting.
     std::optional<QueueItem> takeLast(int rank);
-    // The one that takeLast() would remove; null when nothing of the rank waits.
+    // The request that takeLast() would remove; null when none of the rank waits.
     const QueueItem *last(int rank) const;
 
     std::size_t size() const
@@ -90,20 +90,21 @@
     };
     struct Flow {
         std::map<Position, RequestId> waiting;
-        Duration served{0}; // virtual time: work placed, never behind that of the rank
+        Duration served{0}; // virtual time: work placed; never behind that of the rank
         Duration backlog{0};
     };
     struct Rank {
         std::map<WorkspaceId, Flow> flows; // only those with work waiting
         std::set<std::pair<Duration, WorkspaceId>> byServed;
         std::set<std::pair<Duration, WorkspaceId>> byBacklog;
-        // Virtual times of workspaces with nothing waiting that are ahead of the rank's: one that sends its requests
-        // one by one gets no more than one that sends them together. Forgotten when the rank runs empty.
+        // Virtual times of workspaces that have nothing waiting and are ahead of the rank's virtual time, so that a
+        // workspace that sends its requests one by one gets no more than one that sends them together. Cleared when the
+        // rank becomes empty.
         std::map<WorkspaceId, Duration> ahead;
         Duration virtualTime{0};
         Duration backlog{0};
-        double meanCost = 0; // microseconds, of those that came in
-        Duration credit{0}; // work owed to this rank while more urgent ones were placed
+        double meanCost = 0; // microseconds, of the requests pushed
+        Duration credit{0}; // work due to this rank because more urgent ones were placed
     };
     struct Entry {
         QueueItem item;
@@ -111,8 +112,8 @@
     };
     using Items = std::unordered_map<RequestId, Entry>;
 
-    Duration stretch(Rank &rank, const QueueItem &item) const;
-    void take(Items::iterator entry);
+    Duration costOffset(Rank &rank, const QueueItem &item) const;
+    void removeEntry(Items::iterator entry);
     const QueueItem *headOf(const Rank &rank) const;
     int rankToServe() const;
     void setBacklog(Rank &rank, const WorkspaceId &workspace, Flow &flow, Duration backlog);
--- a/decide/decodememory.cpp
+++ b/decide/decodememory.cpp
@@ -1,13 +1,13 @@
-// Sums over the usable engines are kept up to date by taking an engine's figures out before a change and adding them
-// again after it, so that every query about the cell costs the same at 13 engines and at 600.
+// Sums over the usable engines are maintained incrementally: the values of an engine are subtracted before a change and
+// added after it. So a query over the cell costs the same at 13 engines and at 600.
 //
-// Forecast. Load: decode memory near full, some fifty releases a second. Harm prevented: a place that stands empty
-// through the read and the move of the request that will use it (a twelfth of a place's time). By Little's law pieces
-// come free at the rate held / mean hold time, whatever the lengths of the answers are; each answer's own length is not
-// predicted.
+// Forecast: near full memory there are some fifty releases a second. Waiting for free memory before the prefill would
+// leave pieces unused during prefill and transfer of the request that will use them, a twelfth of the time that a piece
+// is held. By Little's law pieces are released at the rate held / mean hold time, whatever the lengths of the answers
+// are; the length of a single answer is not predicted.
 //
-// Reports lag, so a report above what we hold now may be our own past. Only what exceeds our peak over the lag is
-// counted as another's.
+// Reports lag, so a report above what is held now may show an earlier state of the own work. Only what exceeds the peak
+// of the pieces held over the lag is counted as held by another.
 
 #include "decide/decodememory.h"
 
@@ -27,10 +27,10 @@
 
 Pieces DecodeMemory::freeOf(const Engine &engine)
 {
-    return engine.usable ? std::max(Pieces(0), engine.total - engine.held - engine.foreign) : Pieces(0);
+    return engine.usable ? std::max(Pieces(0), engine.total - engine.held - engine.unaccounted) : Pieces(0);
 }
 
-void DecodeMemory::count(const Engine &engine, int sign)
+void DecodeMemory::addToSums(const Engine &engine, int sign)
 {
     if (!engine.usable) {
         return;
@@ -44,7 +44,7 @@
     this->usableCount += sign;
 }
 
-void DecodeMemory::notePeak(Engine &engine, Instant now) const
+void DecodeMemory::updatePeak(Engine &engine, Instant now) const
 {
     if (now >= engine.windowEnd) {
         engine.lastPeak = now < engine.windowEnd + this->options.reportLag ? engine.peak : engine.held;
@@ -57,37 +57,37 @@
 void DecodeMemory::setEngine(EngineSlot slot, Pieces total, bool usable)
 {
     Engine &engine = this->engine(slot);
-    this->count(engine, -1);
+    this->addToSums(engine, -1);
     engine.total = total;
     engine.usable = usable;
-    this->count(engine, 1);
+    this->addToSums(engine, 1);
 }
 
 void DecodeMemory::clear(EngineSlot slot)
 {
     Engine &engine = this->engine(slot);
-    this->count(engine, -1);
+    this->addToSums(engine, -1);
     engine = Engine{engine.total, Pieces(0), Pieces(0), engine.usable, Pieces(0), Pieces(0), engine.windowEnd};
-    this->count(engine, 1);
+    this->addToSums(engine, 1);
 }
 
 void DecodeMemory::hold(EngineSlot slot, Pieces pieces, Instant now)
 {
     Engine &engine = this->engine(slot);
-    this->count(engine, -1);
-    this->notePeak(engine, now);
+    this->addToSums(engine, -1);
+    this->updatePeak(engine, now);
     engine.held += pieces;
-    this->notePeak(engine, now);
-    this->count(engine, 1);
+    this->updatePeak(engine, now);
+    this->addToSums(engine, 1);
 }
 
 void DecodeMemory::release(EngineSlot slot, Pieces pieces, Duration heldFor, Instant now)
 {
     Engine &engine = this->engine(slot);
-    this->count(engine, -1);
-    this->notePeak(engine, now);
+    this->addToSums(engine, -1);
+    this->updatePeak(engine, now);
     engine.held = std::max(Pieces(0), engine.held - pieces);
-    this->count(engine, 1);
+    this->addToSums(engine, 1);
     const double weight = 1 - std::pow(1 - this->options.holdWeight, static_cast<double>(pieces.value()));
     this->holdMicros += weight * (static_cast<double>(heldFor.count()) - this->holdMicros);
 }
@@ -95,10 +95,10 @@
 void DecodeMemory::onReport(EngineSlot slot, Pieces used, Instant now)
 {
     Engine &engine = this->engine(slot);
-    this->count(engine, -1);
-    this->notePeak(engine, now);
-    engine.foreign = std::max(Pieces(0), used - std::max(engine.peak, engine.lastPeak));
-    this->count(engine, 1);
+    this->addToSums(engine, -1);
+    this->updatePeak(engine, now);
+    engine.unaccounted = std::max(Pieces(0), used - std::max(engine.peak, engine.lastPeak));
+    this->addToSums(engine, 1);
 }
 
 Pieces DecodeMemory::free(EngineSlot slot) const
@@ -113,11 +113,11 @@
 
 Pieces DecodeMemory::largest() const
 {
-    Pieces most;
+    Pieces largest;
     for (const Engine &engine : this->engines) {
-        most = engine.usable ? std::max(most, engine.total) : most;
+        largest = engine.usable ? std::max(largest, engine.total) : largest;
     }
-    return most;
+    return largest;
 }
 
 double DecodeMemory::expectedReleases(Duration within) const
--- a/decide/decodememory.h
+++ b/decide/decodememory.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// The memory of a cell's decode engines, in pieces: what is held, what is free, and what is expected to come free.
+// The memory of a cell's decode engines, in pieces: what is held, what is free, and what is expected to become free.
 //
 //     DecodeMemory memory(DecodeMemory::Options{});
 //     memory.setEngine(slot, Pieces(20), true);
-//     memory.hold(slot, Pieces(2));
-//     memory.release(slot, Pieces(2), 3s, now);             // after 3 s
+//     memory.hold(slot, Pieces(2), now);
+//     memory.release(slot, Pieces(2), 3s, now);             // was held for 3 s
 //     memory.expectedReleases(250ms);                       // pieces, over all usable engines
 
 #include "decide/cellmessages.h"
@@ -20,11 +20,11 @@
 {
 public:
     struct Options {
-        // How long a piece is held, until measured.
+        // Initial value of the measured time that a piece is held.
         Duration holdTime{3s};
         // Weight of one release in the mean hold time: some fifty releases, a second of a cell's work.
         double holdWeight = 0.02;
-        // How long the peak of what we held is remembered, to compare with a report that lags by less than this.
+        // How long the peak of the pieces held is kept. A report lags by less than this.
         Duration reportLag{2s};
     };
 
@@ -34,13 +34,14 @@
     {
     }
 
-    // `usable`: takes new work. One that is not keeps what it holds.
+    // `usable`: takes new work. An engine that is not usable keeps what it holds.
     void setEngine(EngineSlot slot, Pieces total, bool usable);
-    // Everything on it is gone.
+    // Clears everything held on the engine.
     void clear(EngineSlot slot);
     void hold(EngineSlot slot, Pieces pieces, Instant now);
     void release(EngineSlot slot, Pieces pieces, Duration heldFor, Instant now);
-    // More is in use than we hold: another owner placed it, or its caller has gone and nobody cancelled it.
+    // The engine reports the pieces in use. More than is held here means that another owner placed requests there, or
+    // that a caller disconnected and its request was not cancelled.
     void onReport(EngineSlot slot, Pieces used, Instant now);
 
     Pieces free(EngineSlot slot) const;
@@ -69,7 +70,7 @@
     struct Engine {
         Pieces total;
         Pieces held;
-        Pieces foreign;
+        Pieces unaccounted;
         bool usable = false;
         // Peak of `held` in the current and the last window of reportLag.
         Pieces peak;
@@ -79,8 +80,8 @@
 
     Engine &engine(EngineSlot slot);
     static Pieces freeOf(const Engine &engine);
-    void count(const Engine &engine, int sign);
-    void notePeak(Engine &engine, Instant now) const;
+    void addToSums(const Engine &engine, int sign);
+    void updatePeak(Engine &engine, Instant now) const;
 
     Options options;
     std::vector<Engine> engines;
--- a/decide/enginetable.h
+++ b/decide/enginetable.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Numbers the engines of a cell, so that the other tables are plain vectors.
+// Assigns numbers (slots) to the engines of a cell, so that the other tables are plain vectors.
 //
 //     EngineTable table;
-//     const EngineSlot slot = table.slotOf(EngineId("p1"));    // the same for as long as the cell lives
+//     const EngineSlot slot = table.slotOf(EngineId("p1"));    // the same for the lifetime of the table
 //     table.name(slot);
 
 #include "fescuesill/ids.h"
@@ -44,7 +44,7 @@
     }
 
 private:
-    // Names come from the declaration and are few; a name that leaves keeps its number in case it returns.
+    // Names come from the declaration and are few. A name that is removed keeps its slot in case it is declared again.
     std::unordered_map<EngineId, EngineSlot> slots;
     std::vector<EngineId> names;
 };
--- a/decide/linkschedule.h
+++ b/decide/linkschedule.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The transfers of prefill results that are reserved or under way on each link.
+// The transfers of prefill results that are reserved or in progress on each link.
 //
 //     LinkSchedule links;
 //     const std::size_t link = links.linkOf("rack-7");
@@ -20,9 +20,9 @@
 {
 
 // Only sums are kept: whether transfers follow one another or share the rate, a new one that waits for the others waits
-// for the sum of the work. What was begun is counted down by the clock, since its end is only heard of with the first
-// token, a step or two after it: counted until then, links at two thirds of their rate looked full. Each link without
-// transfers starts afresh, so errors do not add up.
+// for the sum of their work. The work of transfers in progress decreases with the clock, since their end is reported
+// only with the first token, a step or two later; counted until that report, links at two thirds of their rate looked
+// full. A link without transfers is reset, so errors do not accumulate.
 class LinkSchedule
 {
 public:
@@ -34,27 +34,27 @@
         }
         return entry->second;
     }
-    // From `ready`, a time from now, until the work reserved and begun is done.
+    // Time from `ready`, which is relative to now, until the work reserved and in progress is done.
     Duration waitIn(std::size_t link, Duration ready, Instant now) const
     {
         const Link &state = this->links[link];
-        const Duration begun = std::max(Duration(0), state.idleAt - now);
-        return std::max(Duration(0), state.reservedWork + begun - ready);
+        const Duration activeWork = std::max(Duration(0), state.idleAt - now);
+        return std::max(Duration(0), state.reservedWork + activeWork - ready);
     }
-    // Under way, as far as their lengths tell.
-    int moving(std::size_t link, Instant now) const
+    // Number of transfers in progress, as far as their lengths show.
+    int active(std::size_t link, Instant now) const
     {
-        return this->links[link].idleAt > now ? this->links[link].begun : 0;
+        return this->links[link].idleAt > now ? this->links[link].active : 0;
     }
-    // Reserved or under way.
+    // Number of transfers reserved or in progress.
     int count(std::size_t link, Instant now) const
     {
-        return this->links[link].reserved + this->moving(link, now);
+        return this->links[link].reserved + this->active(link, now);
     }
-    // How often a transfer began while another was under way.
-    std::uint64_t shared(std::size_t link) const
+    // Number of transfers that began while another was in progress.
+    std::uint64_t overlaps(std::size_t link) const
     {
-        return this->links[link].shared;
+        return this->links[link].overlaps;
     }
 
     void reserve(std::size_t link, Duration length)
@@ -62,34 +62,34 @@
         ++this->links[link].reserved;
         this->links[link].reservedWork += length;
     }
-    // A reserved transfer does not take place.
-    void giveBack(std::size_t link, Duration length)
+    // Cancels the reservation of a transfer that will not take place.
+    void cancelReservation(std::size_t link, Duration length)
     {
         --this->links[link].reserved;
         this->links[link].reservedWork -= length;
     }
-    // A reserved transfer begins.
+    // Starts a reserved transfer.
     void begin(std::size_t link, Duration length, Instant now)
     {
-        this->giveBack(link, length);
+        this->cancelReservation(link, length);
         Link &state = this->links[link];
-        state.shared += state.idleAt > now ? 1 : 0;
+        state.overlaps += state.idleAt > now ? 1 : 0;
         state.idleAt = std::max(state.idleAt, now) + length;
-        ++state.begun;
+        ++state.active;
     }
     void end(std::size_t link)
     {
         Link &state = this->links[link];
-        state.idleAt = --state.begun == 0 ? Instant() : state.idleAt;
+        state.idleAt = --state.active == 0 ? Instant() : state.idleAt;
     }
 
 private:
     struct Link {
         Duration reservedWork{0};
-        Instant idleAt; // when what was begun is done
+        Instant idleAt; // when the transfers in progress are expected to end
         int reserved = 0;
-        int begun = 0; // and not heard of since
-        std::uint64_t shared = 0;
+        int active = 0; // begun and not ended yet
+        std::uint64_t overlaps = 0;
     };
 
     // Names come from the declaration.
--- a/decide/outlierdetector.cpp
+++ b/decide/outlierdetector.cpp
@@ -1,14 +1,14 @@
-// An endpoint is compared with the median of its peers, so that a load that slows all of them ejects none, and judged
-// by its own mean, so that one bad answer does not either.
+// Each endpoint's mean is compared with the median of its peers. The median means that a load that slows all endpoints
+// ejects none, and the mean that one bad answer ejects none.
 //
-// Load: one endpoint of a pool at a fraction of the speed of the others, or failing. Harm prevented: the share of
-// requests that it gets miss their targets, and work piles up on it until it holds the pool's memory and callers.
+// Why: an endpoint of a pool that runs at a fraction of the speed of the others, or fails, makes its share of the
+// requests miss their targets, and work accumulates on it until it holds the pool's memory and callers.
 //
-// Return: after its time out it gets one request at a time. Each good sample doubles what it may have at once; a bad
-// one sends it out again for twice as long. A sudden full return would fail a whole share of requests to learn what one
-// can tell.
+// Readmission: after its ejection an endpoint gets one request at a time. Each good sample doubles its window of
+// concurrent requests; a bad one ejects it again for twice as long. Full readmission at once would fail a whole share
+// of the requests to learn what one request can show.
 //
-// Never all: at most a share is out, at least one endpoint stays in whatever its standing.
+// Never all: at most a share of the endpoints is ejected, and at least one remains whatever its state.
 
 #include "decide/outlierdetector.h"
 
@@ -17,7 +17,7 @@
 namespace fescuesill
 {
 
-constexpr int fullWindow = 32; // at once; a returning endpoint with this many is normal again
+constexpr int fullWindow = 32; // concurrent requests; an endpoint probed with this many is normal again
 
 OutlierDetector::Member &OutlierDetector::member(EngineSlot slot)
 {
@@ -45,22 +45,23 @@
 int OutlierDetector::ejectedCount() const
 {
     return static_cast<int>(std::count_if(this->members.begin(), this->members.end(), [](const Member &member) {
-        return member.present && member.standing == Standing::Ejected;
+        return member.present && member.state == State::Ejected;
     }));
 }
 
 void OutlierDetector::eject(Member &member, Instant now)
 {
     const int present = this->presentCount();
-    const int share = static_cast<int>(present * this->options.mostEjected);
-    const int most = present > 1 ? std::max(1, share) : 0;
-    if (member.standing != Standing::Ejected && this->ejectedCount() + 1 > most) {
+    const int share = static_cast<int>(present * this->options.maxEjectedShare);
+    const int limit = present > 1 ? std::max(1, share) : 0;
+    if (member.state != State::Ejected && this->ejectedCount() + 1 > limit) {
         return;
     }
-    member.nextEject = member.nextEject == Duration(0) ? this->options.ejectFor
-                                                       : std::min(this->options.longestEject, member.nextEject * 2);
-    member.standing = Standing::Ejected;
-    member.until = now + member.nextEject;
+    member.nextEjectDuration = member.nextEjectDuration == Duration(0)
+        ? this->options.firstEjectDuration
+        : std::min(this->options.maxEjectDuration, member.nextEjectDuration * 2);
+    member.state = State::Ejected;
+    member.until = now + member.nextEjectDuration;
     member.samples = 0;
     member.failuresInRow = 0;
     member.window = 1;
@@ -72,18 +73,18 @@
     member.failuresInRow = 0;
     member.mean = member.samples == 0 ? value : member.mean + this->options.weight * (value - member.mean);
     ++member.samples;
-    if (member.standing == Standing::Normal || now < member.until) {
+    if (member.state == State::Normal || now < member.until) {
         return;
     }
     if (this->median > 0 && value > this->median * this->options.ratio) {
         this->eject(member, now);
         return;
     }
-    member.standing = Standing::Returning;
+    member.state = State::Probing;
     member.window *= 2;
     if (member.window >= fullWindow) {
-        member.standing = Standing::Normal;
-        member.nextEject = Duration(0);
+        member.state = State::Normal;
+        member.nextEjectDuration = Duration(0);
     }
 }
 
@@ -91,7 +92,7 @@
 {
     Member &member = this->member(slot);
     ++member.failuresInRow;
-    if (member.failuresInRow >= this->options.failures || member.standing != Standing::Normal) {
+    if (member.failuresInRow >= this->options.failures || member.state != State::Normal) {
         this->eject(member, now);
     }
 }
@@ -105,14 +106,14 @@
 {
     std::vector<double> means;
     for (const Member &member : this->members) {
-        if (member.present && member.standing == Standing::Normal && member.samples >= this->options.leastSamples) {
+        if (member.present && member.state == State::Normal && member.samples >= this->options.minSamples) {
             means.push_back(member.mean);
         }
     }
     if (means.size() < 2) {
         return std::nullopt;
     }
-    // The lower one of two: of two peers the faster is the measure of the slower.
+    // The lower one of two: of two peers the faster one is the reference.
     const auto middle = means.begin() + static_cast<std::ptrdiff_t>((means.size() - 1) / 2);
     std::nth_element(means.begin(), middle, means.end());
     return *middle;
@@ -120,19 +121,19 @@
 
 void OutlierDetector::evaluate(Instant now)
 {
-    if (now < this->evaluated + this->options.interval) {
+    if (now < this->lastEvaluated + this->options.interval) {
         return;
     }
-    this->evaluated = now;
+    this->lastEvaluated = now;
     const std::optional<double> peers = this->medianOfPeers();
     if (!peers) {
         return;
     }
     this->median = *peers;
     for (Member &member : this->members) {
-        const bool judged =
-            member.present && member.standing == Standing::Normal && member.samples >= this->options.leastSamples;
-        if (judged && member.mean > this->median * this->options.ratio) {
+        const bool eligible =
+            member.present && member.state == State::Normal && member.samples >= this->options.minSamples;
+        if (eligible && member.mean > this->median * this->options.ratio) {
             this->eject(member, now);
         }
     }
@@ -140,13 +141,13 @@
 
 bool OutlierDetector::ejected(EngineSlot slot, Instant now) const
 {
-    return slot < this->members.size() && this->members[slot].standing == Standing::Ejected
+    return slot < this->members.size() && this->members[slot].state == State::Ejected
         && now < this->members[slot].until;
 }
 
 std::optional<int> OutlierDetector::allowance(EngineSlot slot, Instant now) const
 {
-    if (slot >= this->members.size() || this->members[slot].standing == Standing::Normal) {
+    if (slot >= this->members.size() || this->members[slot].state == State::Normal) {
         return std::nullopt;
     }
     return this->ejected(slot, now) ? 0 : this->members[slot].window;
--- a/decide/outlierdetector.h
+++ b/decide/outlierdetector.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// Finds the endpoints that are slower or fail more than their peers, and lets them back step by step.
+// Ejects endpoints that are slower or fail more than their peers, and readmits them step by step.
 //
 //     OutlierDetector detector(OutlierDetector::Options{});
-//     detector.onSample(slot, 1.1, now);          // how long a piece of work took, in any unit shared by the peers
+//     detector.onSample(slot, 1.1, now);          // duration of a unit of work, in any unit shared by the peers
 //     detector.onFailure(slot, now);
-//     detector.evaluate(now);                     // compares; cheap to call often
-//     detector.allowance(slot, now);              // how many requests it may have at once; nullopt: no limit
+//     detector.evaluate(now);                     // compares the peers; cheap to call often
+//     detector.allowance(slot, now);              // maximum concurrent requests; nullopt: no limit
 
 #include "decide/enginetable.h"
 #include "fescuesill/units.h"
@@ -21,21 +21,22 @@
 {
 public:
     struct Options {
-        // Slower than this many times the median of its peers. Peers under one load differ by some tens of percent.
+        // Ejects an endpoint slower than this many times the median of its peers. Peers under the same load differ by
+        // some tens of percent.
         double ratio = 1.6;
-        // Samples before an endpoint is judged: one slow answer is not a slow endpoint.
-        int leastSamples = 4;
+        // Minimum samples before an endpoint can be ejected: one slow answer does not make a slow endpoint.
+        int minSamples = 4;
         // Weight of one sample in an endpoint's mean.
         double weight = 0.15;
-        // Failures in a row that eject at once.
+        // Consecutive failures after which an endpoint is ejected immediately.
         int failures = 3;
-        // First time out; doubled at each further ejection up to the longest.
-        Duration ejectFor{2s};
-        Duration longestEject{60s};
-        // Endpoints out at once, as a share. When more look bad the measure or the load is at fault, and taking them
-        // out would put their load on the rest.
-        double mostEjected = 0.34;
-        // How often peers are compared.
+        // Duration of the first ejection; doubled at each further one up to the maximum.
+        Duration firstEjectDuration{2s};
+        Duration maxEjectDuration{60s};
+        // Maximum share of endpoints that are ejected at the same time. If more look bad, the measure or the load is
+        // the cause, and ejecting them would move their load to the rest.
+        double maxEjectedShare = 0.34;
+        // Interval between two comparisons of the peers.
         Duration interval{200ms};
     };
 
@@ -47,7 +48,7 @@
     void setMember(EngineSlot slot, bool member);
     void onSample(EngineSlot slot, double value, Instant now);
     void onFailure(EngineSlot slot, Instant now);
-    // Silent for so long that no second sign is needed.
+    // The endpoint was silent for so long that it is ejected without further evidence.
     void onStall(EngineSlot slot, Instant now);
     void evaluate(Instant now);
 
@@ -56,19 +57,19 @@
     int ejectedCount() const;
 
 private:
-    enum class Standing {
+    enum class State {
         Normal,
         Ejected,
-        Returning, // probed with `window` requests at once
+        Probing, // probed with up to `window` concurrent requests
     };
     struct Member {
         bool present = false;
-        Standing standing = Standing::Normal;
+        State state = State::Normal;
         double mean = 0;
         int samples = 0;
         int failuresInRow = 0;
         Instant until;
-        Duration nextEject{0};
+        Duration nextEjectDuration{0};
         int window = 1;
     };
 
@@ -79,7 +80,7 @@
 
     Options options;
     std::vector<Member> members;
-    Instant evaluated;
+    Instant lastEvaluated;
     double median = 0; // at the last comparison; 0 when unknown
 };
 
--- a/decide/outputestimate.cpp
+++ b/decide/outputestimate.cpp
@@ -1,10 +1,10 @@
-// Callers estimate with an error of their own, so a large estimate is on average too large and a small one too small.
-// The best guess lies between the estimate and the usual length; how far is learned as the least-squares line between
-// the logarithms of what was asked and what was made. On lengths and errors that both spread by half, it cuts the
-// spread of the guess from 0.5 to 0.35, which is a third less memory kept free for surprises.
+// Callers' estimates have errors, so a large estimate is on average too large and a small one too small. The best
+// prediction lies between the estimate and the usual length. It is learned as the least-squares line between the
+// logarithms of estimated and generated lengths. For lengths and errors that both have a spread of 0.5, half, it
+// reduces the spread of the prediction from 0.5 to 0.35, which needs a third less memory kept free as a margin.
 //
-// An answer that has come far is a long one: what is left of it is the mean of the lognormal beyond what was made, not
-// the first guess less that.
+// A long answer so far suggests a long answer: the rest is the mean of the lognormal beyond what was generated, not the
+// first prediction less what was generated.
 
 #include "decide/outputestimate.h"
 
@@ -16,12 +16,12 @@
 namespace
 {
 
-constexpr double leastSpread = 0.05; // answers of a fixed length still differ by a few tokens
-// Below this the tail of the belief is empty for our purposes: the answer is longer than anything learned.
-constexpr double leastTail = 1e-6;
-constexpr double leftWhenSurprised = 0.25; // of what was made
+constexpr double minSpread = 0.05; // answers of a fixed length still differ by a few tokens
+// Below this the tail of the distribution is negligible: the answer is longer than anything learned.
+constexpr double minTail = 1e-6;
+constexpr double remainingShareBeyondTail = 0.25; // of the tokens generated so far
 
-double normalTail(double x) // share of a standard normal above x
+double normalTail(double x) // probability that a standard normal exceeds x
 {
     return 0.5 * std::erfc(x / std::sqrt(2.0));
 }
@@ -33,51 +33,53 @@
 
 } // namespace
 
-Tokens ExpectedOutput::remaining(Tokens made) const
+Tokens ExpectedOutput::remaining(Tokens generated) const
 {
-    const auto done = static_cast<double>(std::max<std::int64_t>(1, made.value()));
-    const double s = std::max(leastSpread, this->spread);
+    const auto done = static_cast<double>(std::max<std::int64_t>(1, generated.value()));
+    const double s = std::max(minSpread, this->spread);
     const double z = (std::log(done) - logOf(this->median)) / s;
     const double tail = normalTail(z);
-    double whole = done * (1 + leftWhenSurprised);
-    if (tail > leastTail) {
+    double whole = done * (1 + remainingShareBeyondTail);
+    if (tail > minTail) {
         whole = static_cast<double>(this->median.value()) * std::exp(s * s / 2) * normalTail(z - s) / tail;
     }
-    const auto bound = static_cast<double>(std::max(this->most.value(), made.value()));
+    const auto bound = static_cast<double>(std::max(this->maxTokens.value(), generated.value()));
     return Tokens(static_cast<std::int64_t>(std::max(0.0, std::min(whole, bound) - done)));
 }
 
-void OutputEstimate::learn(Tokens askedFor, Tokens came)
+void OutputEstimate::learn(Tokens estimate, Tokens actual)
 {
-    const double x = logOf(askedFor);
-    const double y = logOf(came);
-    const double keep = this->options.keep;
-    this->weight = this->weight * keep + 1;
-    this->asked = this->asked * keep + x;
-    this->made = this->made * keep + y;
-    this->askedSquared = this->askedSquared * keep + x * x;
-    this->madeSquared = this->madeSquared * keep + y * y;
-    this->product = this->product * keep + x * y;
+    const double x = logOf(estimate);
+    const double y = logOf(actual);
+    const double decay = this->options.decay;
+    this->weight = this->weight * decay + 1;
+    this->estimated = this->estimated * decay + x;
+    this->generated = this->generated * decay + y;
+    this->estimatedSquared = this->estimatedSquared * decay + x * x;
+    this->generatedSquared = this->generatedSquared * decay + y * y;
+    this->product = this->product * decay + x * y;
 }
 
-ExpectedOutput OutputEstimate::expect(Tokens askedFor, Tokens most) const
+ExpectedOutput OutputEstimate::expect(Tokens estimate, Tokens maxTokens) const
 {
-    const double x = logOf(askedFor);
+    const double x = logOf(estimate);
     if (this->weight < 2) {
-        return {askedFor, this->options.spread, most};
+        return {estimate, this->options.spread, maxTokens};
     }
-    const double meanAsked = this->asked / this->weight;
-    const double meanMade = this->made / this->weight;
-    const double askedVariance = std::max(0.0, this->askedSquared / this->weight - meanAsked * meanAsked);
-    const double madeVariance = std::max(0.0, this->madeSquared / this->weight - meanMade * meanMade);
-    const double shared = this->product / this->weight - meanAsked * meanMade;
-    const double slope = askedVariance > 1e-9 ? std::clamp(shared / askedVariance, 0.0, 1.0) : 0.0;
-    const double learned = meanMade + slope * (x - meanAsked);
-    const double residual = std::sqrt(std::max(0.0, madeVariance - slope * shared));
-    const double trust = std::min(1.0, this->weight / this->options.enough);
-    const double guess = std::exp(trust * learned + (1 - trust) * x);
-    const Tokens median(std::min(most.value(), std::max<std::int64_t>(1, std::llround(guess))));
-    return {median, trust * residual + (1 - trust) * this->options.spread, most};
+    const double meanEstimated = this->estimated / this->weight;
+    const double meanGenerated = this->generated / this->weight;
+    const double estimatedVariance =
+        std::max(0.0, this->estimatedSquared / this->weight - meanEstimated * meanEstimated);
+    const double generatedVariance =
+        std::max(0.0, this->generatedSquared / this->weight - meanGenerated * meanGenerated);
+    const double shared = this->product / this->weight - meanEstimated * meanGenerated;
+    const double slope = estimatedVariance > 1e-9 ? std::clamp(shared / estimatedVariance, 0.0, 1.0) : 0.0;
+    const double learned = meanGenerated + slope * (x - meanEstimated);
+    const double residual = std::sqrt(std::max(0.0, generatedVariance - slope * shared));
+    const double learnedShare = std::min(1.0, this->weight / this->options.fullWeight);
+    const double guess = std::exp(learnedShare * learned + (1 - learnedShare) * x);
+    const Tokens median(std::min(maxTokens.value(), std::max<std::int64_t>(1, std::llround(guess))));
+    return {median, learnedShare * residual + (1 - learnedShare) * this->options.spread, maxTokens};
 }
 
 } // namespace fescuesill
--- a/decide/outputestimate.h
+++ b/decide/outputestimate.h
@@ -1,40 +1,42 @@
 #pragma once
 
-// How long an answer will be, from what its caller expects and from how right callers were so far.
+// Predicts the length of an answer from its caller's estimate and from the accuracy of earlier estimates.
 //
 //     OutputEstimate estimate;
 //     const ExpectedOutput expected = estimate.expect(Tokens(3500), Tokens(6500));
 //     estimate.learn(Tokens(3500), Tokens(2900));               // a generation ended
-//     expected.remaining(Tokens(1000));                              // still to come, of one that has made 1,000
+//     expected.remaining(Tokens(1000));                         // expected rest of an answer of 1,000 tokens so far
 //
-// Load: callers' estimates that are right at the median and off by a factor of two either way. Harm prevented: engines
-// filled by estimates that are too small, which throw out answers midway.
+// Callers' estimates are right at the median and wrong by a factor of two either way. Engines filled by estimates that
+// are too small have to evict answers midway.
 
 #include "fescuesill/units.h"
 
 namespace fescuesill
 {
 
-// A lognormal belief about the length of one answer.
+// A lognormal distribution of the length of one answer.
 struct ExpectedOutput {
     Tokens median;
     double spread = 0; // standard deviation of the logarithm
-    Tokens most; // the caller's bound
+    Tokens maxTokens; // the caller's bound
 
-    // The mean of what is left of an answer that has this much and has not ended.
-    Tokens remaining(Tokens made) const;
+    // Mean number of tokens still to come of an answer that has this many and has not ended.
+    Tokens remaining(Tokens generated) const;
 };
 
 class OutputEstimate
 {
 public:
     struct Options {
-        // Until enough was learned: the spread of a guess that is often off by half.
+        // Standard deviation of the logarithm used until enough generations were learned: estimates are often wrong by
+        // half.
         double spread = 0.5;
-        // Generations until the learned line is used alone; before it counts in part.
-        double enough = 30;
-        // Weight of the past at each new one: the last hundred or so count, so a change of the traffic is followed.
-        double keep = 0.99;
+        // Weight at which the learned line is used alone; below it the line and the caller's estimate are combined.
+        double fullWeight = 30;
+        // Factor applied to the past at each new generation. About the last hundred count, so changes of the traffic
+        // are followed.
+        double decay = 0.99;
     };
 
     OutputEstimate() = default;
@@ -43,17 +45,17 @@
     {
     }
 
-    ExpectedOutput expect(Tokens asked, Tokens most) const;
-    void learn(Tokens asked, Tokens made);
+    ExpectedOutput expect(Tokens estimate, Tokens maxTokens) const;
+    void learn(Tokens estimate, Tokens actual);
 
 private:
     Options options;
-    // Sums over the past, each faded: weight, logarithms of asked and made, their squares and product.
+    // Exponentially decayed sums: weight, logarithms of estimated and generated lengths, their squares and product.
     double weight = 0;
-    double asked = 0;
-    double made = 0;
-    double askedSquared = 0;
-    double madeSquared = 0;
+    double estimated = 0;
+    double generated = 0;
+    double estimatedSquared = 0;
+    double generatedSquared = 0;
     double product = 0;
 };
 
--- a/decide/powerofchoice.cpp
+++ b/decide/powerofchoice.cpp
@@ -1,8 +1,9 @@
-// Power of two choices: draw two engines, take the one with less load. Load: several entries place without a common
-// owner, each on reports that lag. Harm prevented: all of them pick the engine that looked best (herding), as the best
-// of all on old reports would. Own work not yet in a report is added, so that one entry's burst spreads.
+// Power of two choices: draws two engines and takes the one with less load. Several entries place without a common
+// owner, each on reports that lag. If each took the best engine of all by old reports, all would choose the same one
+// (herding). Own work that is not yet in a report is added, so that the burst of one entry spreads.
 //
-// It does not queue: with no place in sight the request is refused, since nobody here sees the queue.
+// There is no queue here: if the engines drawn have no room the request is refused, since no entry sees the others'
+// waiting requests.
 
 #include "decide/powerofchoice.h"
 
@@ -48,7 +49,7 @@
     return engine.reported + engine.recent + engine.previous;
 }
 
-std::optional<std::size_t> PowerOfChoice::better(const std::vector<std::size_t> &pool)
+std::optional<std::size_t> PowerOfChoice::lessLoaded(const std::vector<std::size_t> &pool)
 {
     if (pool.empty()) {
         return std::nullopt;
@@ -63,19 +64,19 @@
 
 std::optional<PowerOfChoice::Choice> PowerOfChoice::place(Tokens prompt)
 {
-    const auto prefill = this->better(this->prefills);
-    const auto decode = this->better(this->decodes);
+    const auto prefill = this->lessLoaded(this->prefills);
+    const auto decode = this->lessLoaded(this->decodes);
     if (!prefill || !decode) {
         return std::nullopt;
     }
-    Engine &writer = this->engines[*decode];
+    Engine &decodeEngine = this->engines[*decode];
     const std::int64_t pieces = piecesFor(prompt).value();
-    if (loadOf(writer) + pieces > writer.spec.memory.value()) {
+    if (loadOf(decodeEngine) + pieces > decodeEngine.spec.memory.value()) {
         return std::nullopt;
     }
-    writer.recent += pieces;
+    decodeEngine.recent += pieces;
     this->engines[*prefill].recent += prompt.value();
-    return Choice{this->engines[*prefill].spec.engine, writer.spec.engine};
+    return Choice{this->engines[*prefill].spec.engine, decodeEngine.spec.engine};
 }
 
 } // namespace fescuesill
--- a/decide/powerofchoice.h
+++ b/decide/powerofchoice.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Degraded placing: what an entry does while no owner of a cell can be reached.
+// Degraded placing, which an entry uses while no owner of a cell can be reached.
 //
 //     PowerOfChoice placer(seed);
 //     placer.setEngines(engines);
@@ -30,7 +30,7 @@
 
     void setEngines(const std::vector<EngineSpec> &specs);
     void onLoadReport(const EngineId &engine, const LoadReport &report);
-    // None when no pair of engines has room for the prompt as far as is known here.
+    // Empty when no pair of engines has room for the prompt, as far as is known here.
     std::optional<Choice> place(Tokens prompt);
 
 private:
@@ -38,11 +38,11 @@
         EngineSpec spec;
         std::int64_t reported = 0; // pieces or tokens, at the last report
         std::int64_t recent = 0; // placed from here since that report
-        std::int64_t previous = 0; // and between the two last ones: reports lag by up to one interval
+        std::int64_t previous = 0; // placed between the last two reports: reports lag by up to one interval
     };
 
     static std::int64_t loadOf(const Engine &engine);
-    std::optional<std::size_t> better(const std::vector<std::size_t> &pool);
+    std::optional<std::size_t> lessLoaded(const std::vector<std::size_t> &pool);
 
     std::mt19937_64 random;
     std::vector<Engine> engines;
--- a/decide/prefillqueues.cpp
+++ b/decide/prefillqueues.cpp
@@ -1,11 +1,11 @@
-// Each engine reads its jobs by rank, then in the order given. The first job is the one being read; what is left of it
-// is its expected length less the time since it started, never less than nothing. The forecast is corrected at each
-// report of a finished read, so errors do not add up.
+// Each engine processes its jobs by rank, then in the order given. The first job is in progress; its remaining time is
+// its expected duration less the time since it started, and never negative. Each report of a finished prefill corrects
+// the forecast, so errors do not accumulate.
 //
-// Slow engine: its speed is measured from each read that ran alone from start to end. Load: one engine at a fifth of
-// the speed. Harm prevented: it takes its share of requests, which then all miss their target. With its speed in the
-// forecast it gets what it can finish in time. A stalled engine reports nothing, so it is found by an overdue first job
-// instead.
+// The speed of an engine is measured from each prefill that ran alone from start to end. Without it, an engine at a
+// fifth of the normal speed would get its full share of requests and all of them would miss their target; with its
+// speed in the forecast it gets what it can finish in time. A stalled engine reports nothing, so it is detected by an
+// overdue first job instead.
 
 #include "decide/prefillqueues.h"
 
@@ -14,7 +14,7 @@
 namespace fescuesill
 {
 
-constexpr double busyWeight = 0.01; // of one sample in the busy share; polls are some 5 ms apart
+constexpr double busyWeight = 0.01; // weight of one sample in the busy share; polls are some 5 ms apart
 
 void PrefillQueues::setEngine(EngineSlot slot, bool usable)
 {
@@ -36,10 +36,10 @@
     auto place =
         std::find_if(engine.jobs.begin(), engine.jobs.end(), [rank](const Job &other) { return other.rank > rank; });
     if (place == engine.jobs.begin() && place != engine.jobs.end()) {
-        // The engine breaks off a read of lower urgency; what was read of it stays read.
+        // The engine preempts a prefill of a less urgent rank and keeps what it has computed of it.
         Job &paused = *place;
         paused.expected = std::max(Duration(0), paused.expected - (now - paused.started));
-        paused.mixed = true;
+        paused.preempted = true;
     }
     engine.jobs.insert(place, job);
 }
@@ -70,9 +70,9 @@
     const bool first = found == engine.jobs.begin();
     engine.jobs.erase(found);
     std::optional<double> ratio;
-    if (first && !job.mixed && job.nominal > Duration(0)) {
+    if (first && !job.preempted && job.nominal > Duration(0)) {
         const auto took = static_cast<double>((now - job.started).count());
-        ratio = std::clamp(took / static_cast<double>(job.nominal.count()), 0.1, this->options.slowest);
+        ratio = std::clamp(took / static_cast<double>(job.nominal.count()), 0.1, this->options.maxSlowness);
         engine.slowness += this->options.speedWeight * (*ratio - engine.slowness);
     }
     if (first) {
--- a/decide/prefixindex.cpp
+++ b/decide/prefixindex.cpp
@@ -1,11 +1,11 @@
-// A map from the hash of a prefix to its holders, bounded by forgetting the prefix learnt longest ago.
+// A map from the hash of a prefix to the engines that hold it, bounded by evicting the least recently added prefix.
 //
-// Cache events come late and with gaps, so they alone would send requests to engines that have evicted the prefix. Two
-// sources that are exact correct them: a prompt just read is certainly held, and the reused count of a read says where
-// the held part ends. An entry that is wrong is therefore paid for once.
+// Cache events are late and have gaps, so they alone would send requests to engines that have evicted the prefix. Two
+// exact sources correct them: a prompt that was just computed is certainly held, and the reused count of a prefill
+// shows where the held part ends. So a wrong entry costs at most one prefill.
 //
-// A block is held only if all before it are, so a match walks the blocks from the first and ends at the first that
-// nobody holds. Walking from the longest would cost a look-up for each block of every new prompt.
+// A block is held only if all blocks before it are, so a match walks the blocks from the first and ends at the first
+// that no engine holds. Starting from the longest prefix would cost a look-up for each block of every new prompt.
 //
 // Rejected: a radix tree over tokens (the scheduler never sees tokens, and hashes of whole prefixes need no tree).
 
--- a/decide/roleshift.h
+++ b/decide/roleshift.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// When an engine should move to the other pool.
+// Decides when an engine should move to the other pool.
 //
 //     RoleShift shift(RoleShift::Options{});
 //     if (const auto pool = shift.observe({prefillBusy, decodeUse, waiting, prefills, decodes}, now)) {
@@ -16,23 +16,24 @@
 {
 public:
     struct Options {
-        // A pool this busy with work waiting is short.
-        double shortUse = 0.92;
-        // The other pool must stay below this after it has given one engine away, or the engine would soon be moved
-        // back.
-        double spareUse = 0.80;
-        // How long it must last. A burst is over before the engine is ready.
-        Duration sustained{10s};
-        // Between two changes. A change empties the engine and loads it again, several seconds of its time: at one a
-        // minute that costs some 10% of one engine, and the view after a change needs time to settle.
-        Duration pause{60s};
-        int leastPerPool = 1;
+        // A pool whose use is above this while work waits is short of engines.
+        double shortageUse = 0.92;
+        // The use of the other pool must stay below this after it has lost one engine. Otherwise the engine would soon
+        // be moved back.
+        double maxDonorUse = 0.80;
+        // How long the shortage must last. A burst is over before the engine is ready.
+        Duration sustainedFor{10s};
+        // Minimum time between two changes. A change drains the engine and loads it again, which takes several seconds
+        // of its time: at one change a minute that is some 10% of one engine. The measurements also need time to settle
+        // after a change.
+        Duration minInterval{60s};
+        int minPerPool = 1;
     };
 
     struct View {
         double prefillBusy = 0; // share of the prefill engines' time that is used
         double decodeUse = 0; // share of the decode memory that is held
-        bool waiting = false; // requests wait for a place
+        bool waiting = false; // requests wait to be placed
         int prefillEngines = 0;
         int decodeEngines = 0;
     };
@@ -42,15 +43,15 @@
     {
     }
 
-    // The pool that should get one more engine.
+    // The pool that should get one more engine, if any.
     std::optional<Pool> observe(const View &view, Instant now);
 
 private:
     std::optional<Pool> shortPool(const View &view) const;
 
     Options options;
-    std::optional<Pool> wanted;
-    Instant wantedSince;
+    std::optional<Pool> candidate;
+    Instant candidateSince;
     std::optional<Instant> changed;
 };
 
--- a/decide/summarypacer.h
+++ b/decide/summarypacer.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// When the owner of a cell publishes its summary again.
+// Decides when the owner of a cell publishes its summary again.
 //
 //     SummaryPacer pacer(SummaryPacer::Options{});
 //     if (pacer.isDue(summary, now)) { pacer.onPublished(summary, now); ... }
@@ -12,16 +12,16 @@
 namespace fescuesill
 {
 
-// Load: 48 busy cells whose summaries ride on probes that carry some ten facts a second. Harm prevented: summaries
-// that are published faster than they spread, so that each waits behind others and all are late.
+// The summaries of 48 busy cells are spread with probes that carry some ten updates a second. Summaries published
+// faster than they spread would queue behind one another and all arrive late.
 class SummaryPacer
 {
 public:
     struct Options {
-        // A summary that has changed enough to change a choice between data centres is published after this long;
-        Duration changed{1s};
-        // any other after this long.
-        Duration unchanged{10s};
+        // Interval for a summary that differs enough to change a choice between data centres.
+        Duration changedInterval{1s};
+        // Interval for any other summary.
+        Duration unchangedInterval{10s};
     };
 
     explicit SummaryPacer(const Options &options)
@@ -32,8 +32,8 @@
     bool isDue(const CellSummary &summary, Instant now) const
     {
         const Duration since = now - this->publishedAt;
-        return since >= this->options.unchanged
-            || (since >= this->options.changed && changesChoice(this->published, summary));
+        return since >= this->options.unchangedInterval
+            || (since >= this->options.changedInterval && changesChoice(this->published, summary));
     }
 
     void onPublished(const CellSummary &summary, Instant now)
@@ -42,7 +42,7 @@
         this->publishedAt = now;
     }
 
-    // Whether an entry might choose another data centre by the new summary.
+    // Whether the new summary might make an entry choose another data centre.
     static bool changesChoice(const CellSummary &before, const CellSummary &now)
     {
         constexpr Duration delayStep = 50ms; // a tenth of the time to the first token
--- a/decide/testing/cellchoice_test.cpp
+++ b/decide/testing/cellchoice_test.cpp
@@ -1,4 +1,4 @@
-// The choice between data centres, each test with what the summaries say at that moment.
+// The choice between data centres, by the summaries known at that moment.
 
 #include "decide/cellchoice.h"
 
@@ -39,7 +39,7 @@
     return {options, seed};
 }
 
-std::map<CellId, int> elsewhere(CellChoice &choice, int times, Instant now, Duration left = 500ms)
+std::map<CellId, int> countSecondChoices(CellChoice &choice, int times, Instant now, Duration left = 500ms)
 {
     std::map<CellId, int> asked;
     for (int i = 0; i < times; ++i) {
@@ -62,10 +62,10 @@
 {
     const std::vector<FirstCase> cases{
         {"full, but it may have room by now", true, true, 1s, "a"},
-        {"an old summary says nothing against it", true, true, 100s, "a"},
-        {"takes nothing", true, false, 1s, "b"},
-        {"took nothing long ago", true, false, 100s, "a"},
-        {"nothing heard of it yet", true, true, -1s, "a"},
+        {"an old summary does not exclude it", true, true, 100s, "a"},
+        {"accepts nothing", true, false, 1s, "b"},
+        {"accepted nothing long ago", true, false, 100s, "a"},
+        {"has published nothing yet", true, true, -1s, "a"},
         {"no engines here", false, true, 1s, "b"},
     };
     for (const FirstCase &one : cases) {
@@ -82,9 +82,9 @@
     }
 }
 
-// The own cell refuses. The others are asked by their room, and not the one whose link loses packets, nor one that
-// cannot keep the target, nor one that cannot be reached, nor one of which nothing was heard.
-TEST(CellChoice, SpreadsWhatTheOwnCellRefusesOverThoseWithRoom)
+// After the own cell refuses, the others are chosen in proportion to their room. Not chosen are a cell whose link loses
+// packets, one that cannot meet the target, one that is unreachable and one that has published nothing.
+TEST(CellChoice, SpreadsRefusedRequestsOverCellsWithRoom)
 {
     CellChoice choice = entryIn("a");
     choice.onSummary(cellIn("a"), summaryOf(0ms), start);
@@ -94,17 +94,17 @@
     }
     choice.onReach(cellIn("f"), false);
     choice.onSummary(cellIn("g"), summaryOf(0ms, 50, 0), start);
-    std::map<CellId, int> asked = elsewhere(choice, 40, start);
+    std::map<CellId, int> asked = countSecondChoices(choice, 40, start);
     EXPECT_GT(asked[cellIn("b")], 10);
     EXPECT_GT(asked[cellIn("c")], 10);
     EXPECT_EQ(asked[cellIn("a")] + asked[cellIn("d")] + asked[cellIn("e")] + asked[cellIn("f")] + asked[cellIn("g")],
               0);
-    EXPECT_TRUE(elsewhere(choice, 40, start, 20ms).empty());
-    EXPECT_TRUE(elsewhere(choice, 40, start + 100s).empty());
+    EXPECT_TRUE(countSecondChoices(choice, 40, start, 20ms).empty());
+    EXPECT_TRUE(countSecondChoices(choice, 40, start + 100s).empty());
 }
 
-// One data centre is over its capacity, the others have room, and every entry there has the same summaries. If all
-// turned to the cell that looks best, it would be full before they hear of it, and then the next one.
+// One data centre is over its capacity, the others have room, and every entry has the same summaries. If all entries
+// chose the cell that looks best, it would be full before they received a new summary, and then the next cell.
 TEST(CellChoice, ManyEntriesWithTheSameSummariesDoNotHerd)
 {
     constexpr int entries = 340;
@@ -114,7 +114,7 @@
         CellChoice choice = entryIn("a", static_cast<std::uint64_t>(i) + 1);
         choice.onSummary(cellIn("a"), summaryOf(2s, 0), start);
         for (const auto &[name, pieces] : room) {
-            // What little differs between them is older than the sending takes.
+            // The small difference between the summaries is less than their lag.
             choice.onSummary(cellIn(name), summaryOf(name == "b" ? 0ms : 5ms, pieces), start);
         }
         EXPECT_EQ(choice.choose(model, Tokens(100), start), cellIn("a"));
@@ -126,9 +126,10 @@
     }
 }
 
-// The owner of a cell stops publishing while the cell is empty, then the cell fills. Its last word is repeated to the
-// entries every second. They ask it once in two seconds, hear its refusal, and after half a minute not at all.
-TEST(CellChoice, AStuckSummaryAttractsLittleAndNotForLong)
+// The owner of a cell stops publishing while the cell is empty, then the cell fills, and its last summary is repeated
+// to the entries. An entry tries it once in two seconds, gets a refusal, and after half a minute does not try it any
+// more.
+TEST(CellChoice, AnOutdatedSummaryAttractsFewRequests)
 {
     CellChoice choice = entryIn("a");
     int asked = 0;
@@ -145,32 +146,32 @@
     EXPECT_LE(asked, 16);
 }
 
-// A region is cut off for an hour. The links to its owners break; its summaries stay as they were. Nobody asks there,
-// and it is asked again when the links are back.
-TEST(CellChoice, NothingIsSentAcrossACut)
+// A region is partitioned for an hour: the links to its owners fail and its summaries stay as they were. No request is
+// sent there until the links work again.
+TEST(CellChoice, NothingIsSentToAPartitionedRegion)
 {
     CellChoice choice = entryIn("a");
     std::map<CellId, int> asked;
     constexpr int minutes = 60;
     for (int minute = 0; minute <= minutes; ++minute) {
         const Instant now = start + 60s * minute;
-        const bool isCut = minute < minutes;
-        choice.onSummary(cellIn("b"), summaryOf(0ms, 100, isCut ? 1 : 2), now);
-        choice.onReach(cellIn("b"), !isCut);
-        for (const auto &[cell, count] : elsewhere(choice, 10, now)) {
+        const bool isPartitioned = minute < minutes;
+        choice.onSummary(cellIn("b"), summaryOf(0ms, 100, isPartitioned ? 1 : 2), now);
+        choice.onReach(cellIn("b"), !isPartitioned);
+        for (const auto &[cell, count] : countSecondChoices(choice, 10, now)) {
             asked[cell] += count;
-            EXPECT_FALSE(isCut);
+            EXPECT_FALSE(isPartitioned);
         }
     }
     EXPECT_EQ(asked[cellIn("b")], 10);
 }
 
-// Against the rule, told by lists: a second choice is one of those that pass every condition, and there is one
-// whenever some cell passes.
-RC_GTEST_PROP(CellChoice, ASecondChoiceIsOneThatMayBeAsked, (std::uint64_t seed))
+// Compared with the rule evaluated by lists: a second choice meets every condition, and there is one whenever some cell
+// meets them.
+RC_GTEST_PROP(CellChoice, ASecondChoiceIsAlwaysACandidate, (std::uint64_t seed))
 {
     CellChoice choice = entryIn("a", seed);
-    std::map<CellId, bool> mayBeAsked;
+    std::map<CellId, bool> isCandidate;
     const std::vector<std::string> names{"a", "b", "c", "d", "e"};
     for (const std::string &name : names) {
         CellSummary summary = summaryOf(1ms * *rc::gen::inRange(0, 40), *rc::gen::inRange(0, 30));
@@ -179,23 +180,23 @@
         summary.version = static_cast<std::uint64_t>(*rc::gen::inRange(0, 3));
         const bool isReachable = *rc::gen::inRange(0, 4) != 0;
         const bool hasRefused = *rc::gen::inRange(0, 4) == 0;
-        const Duration told = 100ms * *rc::gen::inRange(0, 50);
+        const Duration retryAfter = 100ms * *rc::gen::inRange(0, 50);
         const Duration since = 100ms * *rc::gen::inRange(0, 30);
         const Instant now = start + 60s;
         choice.onSummary(cellIn(name), summary, now - age);
         choice.onReach(cellIn(name), isReachable);
         if (hasRefused) {
-            choice.onRefused(cellIn(name), told, now - since);
+            choice.onRefused(cellIn(name), retryAfter, now - since);
         }
-        const bool isAvoided = hasRefused && since < std::min(std::max(told, Duration(500ms)), Duration(2s));
-        mayBeAsked[cellIn(name)] =
+        const bool isAvoided = hasRefused && since < std::min(std::max(retryAfter, Duration(500ms)), Duration(2s));
+        isCandidate[cellIn(name)] =
             name != "a" && summary.version > 0 && summary.accepting && age <= 30s && isReachable && !isAvoided;
     }
     const auto chosen = choice.chooseAfterRefusal(cellIn("a"), Tokens(100), 500ms, start + 60s);
-    const bool any = std::any_of(mayBeAsked.begin(), mayBeAsked.end(), [](const auto &one) { return one.second; });
+    const bool any = std::any_of(isCandidate.begin(), isCandidate.end(), [](const auto &one) { return one.second; });
     RC_ASSERT(chosen.has_value() == any);
     // Outside the macro, which evaluates both sides of an or.
-    const bool isAllowed = !chosen || mayBeAsked[*chosen];
+    const bool isAllowed = !chosen || isCandidate[*chosen];
     RC_ASSERT(isAllowed);
 }
 
--- a/decide/testing/cellscheduler_test.cpp
+++ b/decide/testing/cellscheduler_test.cpp
@@ -30,8 +30,8 @@
     EXPECT_EQ(cell.nextWake(), std::nullopt);
 }
 
-// Story: the decode engine dies just after the prefill result has moved there. The result is still on its prefill
-// engine, so the request goes on at the other decode engine and the prompt is not read again.
+// The decode engine dies just after the prefill result was transferred to it. The prefill engine still has the result,
+// so the request continues on the other decode engine without another prefill.
 TEST(CellScheduler, ResumesFromAHeldPrefillResultWhenTheDecodeEngineDies)
 {
     auto cell = smallCell();
@@ -49,24 +49,23 @@
     EXPECT_EQ(cell.counters().wastedRedone, Tokens(0));
 }
 
-// Story: the prefill engine stops answering in the middle of a read. Nothing is reported. The request is placed on the
-// other engine, and the late report of the first one changes nothing.
-TEST(CellScheduler, MovesAReadAwayFromAStalledEngine)
+// The prefill engine stalls during a prefill and reports nothing. The request is placed on the other engine.
+TEST(CellScheduler, MovesAPrefillAwayFromAStalledEngine)
 {
     auto cell = smallCell();
     cell.submit(request("r"), Instant(1s));
     const EngineId first = only<Place>(cell.poll(Instant(1s))).front().prefillEngine;
-    std::vector<Place> again;
-    for (Instant now(1s); now < Instant(3s) && again.empty(); now += 10ms) {
-        again = only<Place>(cell.poll(now));
+    std::vector<Place> secondPlaces;
+    for (Instant now(1s); now < Instant(3s) && secondPlaces.empty(); now += 10ms) {
+        secondPlaces = only<Place>(cell.poll(now));
     }
-    ASSERT_EQ(again.size(), 1U);
-    EXPECT_FALSE(again.front().prefillEngine == first);
+    ASSERT_EQ(secondPlaces.size(), 1U);
+    EXPECT_FALSE(secondPlaces.front().prefillEngine == first);
 }
 
-// Story: a decode engine stops writing and keeps its connections open, so nothing fails. It has the most free memory
-// and would get all that comes until its entries give up after seconds.
-TEST(CellScheduler, ASilentDecodeEngineGetsNothingNew)
+// A decode engine stops generating and keeps its connections open, so nothing fails. It has the most free memory and
+// would get every new request until its entries time out after seconds.
+TEST(CellScheduler, AStalledDecodeEngineGetsNothingNew)
 {
     auto cell = smallCell();
     cell.adopt({request("silent"), EngineId("d1"), Tokens(10)}, Instant(1s));
@@ -106,8 +105,8 @@
     }
 }
 
-// Story: the owner of the cell dies with the cell full. The new owner hears from the entries what they hold, and places
-// nothing on top of it.
+// The owner of the cell dies while the cell is full. The entries report to the new owner what they hold, and it places
+// nothing on top of that.
 TEST(CellScheduler, ANewOwnerCountsWhatEntriesHold)
 {
     auto cell = smallCell();
@@ -121,8 +120,8 @@
     EXPECT_EQ(cell.summary(Instant(1s)).freePieces, Pieces(1));
 }
 
-// Any order of events, also doubled ones and ones that do not fit: every request ends once, memory is given back, and
-// nothing is left waiting.
+// For any order of events, including duplicates and events that do not fit, every request ends exactly once, its memory
+// is released, and nothing is left waiting.
 TEST(CellScheduler, EveryRequestEndsOnceUnderRandomEvents)
 {
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
@@ -133,7 +132,7 @@
         std::map<RequestId, int> ends;
         std::vector<RequestId> open;
         Instant now(1s);
-        const auto take = [&](const std::vector<Action> &actions) {
+        const auto countRefusals = [&](const std::vector<Action> &actions) {
             for (const Refuse &refuse : only<Refuse>(actions)) {
                 ++ends[refuse.request];
                 EXPECT_TRUE(refuse.refusal.retryAfter.has_value());
@@ -179,11 +178,11 @@
                 cell.onPrefillFailed(id, static_cast<PrefillFault>(random() % 2), now);
                 break;
             }
-            take(cell.poll(now));
+            countRefusals(cell.poll(now));
         }
         for (const RequestId &id : open) {
             end(id, false);
-            take(cell.poll(now));
+            countRefusals(cell.poll(now));
         }
         for (const RequestId &id : open) {
             EXPECT_EQ(ends[id], 1) << "seed " << seed << " request " << id;
@@ -194,7 +193,7 @@
             for (const char *name : {"p1", "p2", "d1", "d2"}) {
                 cell.onLoadReport(EngineId(name), LoadReport{}, now);
             }
-            take(cell.poll(now));
+            countRefusals(cell.poll(now));
         }
         EXPECT_EQ(cell.summary(now).freePieces.value() % 4, 0) << seed;
     }
--- a/decide/testing/classqueue_test.cpp
+++ b/decide/testing/classqueue_test.cpp
@@ -20,7 +20,7 @@
     return options;
 }
 
-// Work popped for each workspace, out of `pops` requests.
+// Cost popped for each workspace, out of `pops` requests.
 static std::map<std::string, Duration> served(ClassQueue &queue, int pops)
 {
     std::map<std::string, Duration> sums;
@@ -46,7 +46,7 @@
     EXPECT_LT(share, 0.06);
 }
 
-TEST(ClassQueue, TheHeadOfARankCanBeTakenPastAnother)
+TEST(ClassQueue, TheHeadOfOneRankCanBePoppedBeforeThatOfAnother)
 {
     ClassQueue queue(inOrderOfArrival());
     queue.push(item(1, "w", -1, 10ms));
@@ -93,7 +93,7 @@
     EXPECT_LE(single, 51);
 }
 
-// Long prompts go after short ones of the same moment, but not after all that ever come.
+// Long prompts are served after short ones of the same moment, but not after all later ones.
 TEST(ClassQueue, ShortOnesGoFirstAndLongOnesAreNotStarved)
 {
     ClassQueue queue(ClassQueue::Options{});
@@ -111,8 +111,8 @@
     EXPECT_LT(popped, 4000);
 }
 
-// The obvious queue: a list, searched from end to end for each question.
-struct SlowQueue {
+// Reference implementation: a list that is searched from end to end for each query.
+struct ReferenceQueue {
     struct Flow {
         Duration served{0};
         bool known = false;
@@ -159,11 +159,11 @@
     }
 };
 
-// Any mix of arrivals, placings and cancellations of one rank gives the same order as the obvious queue.
-RC_GTEST_PROP(ClassQueueProperty, SameOrderAsTheObviousQueue, (const std::vector<std::uint16_t> &script))
+// Any mix of arrivals, placings and cancellations of one rank gives the same order as the reference implementation.
+RC_GTEST_PROP(ClassQueueProperty, SameOrderAsTheReferenceQueue, (const std::vector<std::uint16_t> &script))
 {
     ClassQueue queue(inOrderOfArrival());
-    SlowQueue slow;
+    ReferenceQueue reference;
     int number = 0;
     for (const std::uint16_t step : script) {
         const int kind = step % 8;
@@ -171,28 +171,28 @@
             const QueueItem next =
                 item(number++, std::string(1, static_cast<char>('a' + step / 8 % 5)), 1, Duration(1 + step / 64 % 32));
             queue.push(next);
-            slow.push(next);
-        } else if (slow.items.empty()) {
+            reference.push(next);
+        } else if (reference.items.empty()) {
             RC_ASSERT(queue.head() == nullptr);
         } else if (kind < 7) {
-            RC_ASSERT(queue.head()->request == slow.head().request);
+            RC_ASSERT(queue.head()->request == reference.head().request);
             queue.pop();
-            slow.pop();
+            reference.pop();
         } else {
-            const RequestId victim = slow.items[step / 8 % slow.items.size()].request;
+            const RequestId victim = reference.items[step / 8 % reference.items.size()].request;
             RC_ASSERT(queue.remove(victim));
-            slow.remove(victim);
+            reference.remove(victim);
         }
         Duration backlog{0};
-        for (const QueueItem &left : slow.items) {
+        for (const QueueItem &left : reference.items) {
             backlog += left.cost;
         }
         RC_ASSERT(queue.backlog(1) == backlog);
-        RC_ASSERT(queue.size() == slow.items.size());
+        RC_ASSERT(queue.size() == reference.items.size());
     }
 }
 
-TEST(ClassQueue, TakesWhatCanNoLongerMeetItsTarget)
+TEST(ClassQueue, RemovesRequestsThatCanNoLongerMeetTheirTarget)
 {
     ClassQueue queue(inOrderOfArrival());
     queue.push(item(1, "a", 1, 1ms, Instant(10ms)));
--- a/decide/testing/placing_test.cpp
+++ b/decide/testing/placing_test.cpp
@@ -13,9 +13,9 @@
     }
 }
 
-// Story: a long request has to be placed again after its engine failed and finds the memory nearly full. It goes first
-// and waits; an urgent one behind it, which needs only the piece that is free, is placed meanwhile. The long one is not
-// starved: after twenty urgent ones it has the front for itself.
+// A long request is placed again after its engine failed and finds the memory nearly full. It is the head of the queue
+// and waits; urgent requests behind it, which need only the piece that is free, are placed meanwhile. After twenty of
+// them only the head may be placed, so the long request does not starve.
 TEST(Placing, UrgentRequestsPassAHeadThatCannotBePlaced)
 {
     auto cell = smallCell();
@@ -43,9 +43,9 @@
     EXPECT_EQ(passed, 20);
 }
 
-// Story: the last free piece has been promised to a patient request that is being read. An urgent one comes. It is read
-// as well and gets the piece; the patient one waits for the next.
-TEST(Placing, UrgentRequestsTakeWhatPatientOnesWerePromised)
+// The last free piece is promised to a patient request in prefill when an urgent one arrives. The urgent one is
+// prefilled as well and gets the piece; the patient one waits for the next.
+TEST(Placing, UrgentRequestsTakePiecesPromisedToPatientOnes)
 {
     auto cell = smallCell();
     fillAllButOne(cell);
@@ -62,15 +62,15 @@
     EXPECT_EQ(starts.front().request, RequestId("urgent"));
 }
 
-// Story: three transfers share a link. A fourth live one waits for one of them to end; an urgent one goes at once, for
-// waiting costs it more than sharing.
+// Three transfers share a link. A fourth interactive one waits for one of them to end. An urgent one starts
+// immediately, since waiting costs it more than sharing.
 TEST(Placing, UrgentResultsNeverWaitForALink)
 {
     auto cell = CellScheduler::create({}).value();
-    EngineSpec reader = engine("p1", Pool::Prefill);
-    EngineSpec writer = engine("d1", Pool::Decode);
-    writer.memory = Pieces(40);
-    cell.setEngines({reader, writer}, Instant(1s));
+    EngineSpec prefillEngine = engine("p1", Pool::Prefill);
+    EngineSpec decodeEngine = engine("d1", Pool::Decode);
+    decodeEngine.memory = Pieces(40);
+    cell.setEngines({prefillEngine, decodeEngine}, Instant(1s));
     Instant now(1s);
     std::vector<std::string> started;
     for (const char *name : {"live1", "live2", "live3", "live4", "urgent"}) {
@@ -86,14 +86,14 @@
     }
 }
 
-// Story: a transfer of 160 ms has ended, which shows only with the first token a step or two later. Patient results on
-// the same link waited for that, and links at two thirds of their rate held up the whole cell.
+// A transfer of 160 ms has ended, but that is reported only with the first token, a step or two later. When patient
+// results on the same link waited for the report, links at two thirds of their rate delayed the whole cell.
 TEST(Placing, PatientResultsWaitForTheTransferAndNotForItsToken)
 {
     auto cell = CellScheduler::create({}).value();
-    EngineSpec writer = engine("d1", Pool::Decode);
-    writer.memory = Pieces(40);
-    cell.setEngines({engine("p1", Pool::Prefill), writer}, Instant(1s));
+    EngineSpec decodeEngine = engine("d1", Pool::Decode);
+    decodeEngine.memory = Pieces(40);
+    cell.setEngines({engine("p1", Pool::Prefill), decodeEngine}, Instant(1s));
     Instant now(1s);
     for (const char *name : {"first", "second"}) {
         PlaceRequest place = request(name, 2, 5s);
@@ -109,7 +109,7 @@
     EXPECT_EQ(starts.front().request, RequestId("second"));
 }
 
-static std::vector<CacheEvent> held(const std::vector<PrefixHash> &prefix)
+static std::vector<CacheEvent> addedEvents(const std::vector<PrefixHash> &prefix)
 {
     std::vector<CacheEvent> events;
     events.reserve(prefix.size());
@@ -128,13 +128,13 @@
     return prefix;
 }
 
-// Story: a live request has a prompt of 4,000 tokens, which could not be read in time, but all engines hold nearly all
-// of it. It was taken for hopeless and went after patient work.
-TEST(Placing, APromptIsJudgedByWhatHasToBeReadOfIt)
+// An interactive request has a prompt of 4,000 tokens, whose full prefill would miss the target, but all engines hold
+// nearly all of it. Judged by its whole length it was placed after patient work.
+TEST(Placing, AReusedPrefixDoesNotCountAsPrefill)
 {
     auto cell = smallCell();
     cell.setEngines({engine("p1", Pool::Prefill), engine("d1", Pool::Decode)}, Instant(1s));
-    cell.onCacheEvents(EngineId("p1"), held(blocks(15)), false);
+    cell.onCacheEvents(EngineId("p1"), addedEvents(blocks(15)), false);
     PlaceRequest first = request("first", 1, 5s);
     first.arrival = Instant(1s);
     cell.submit(first, Instant(1s));
@@ -153,16 +153,16 @@
     EXPECT_EQ(places.front().request, RequestId("live"));
 }
 
-// Story: one engine holds the prefix of a live request, but four transfers share its link. Reading all of the prompt
-// elsewhere is the shorter way.
-TEST(Placing, ALiveRequestKeepsAwayFromACrowdedLink)
+// One engine holds the prefix of an interactive request, but four transfers share its link. Computing the whole prompt
+// on the other engine is faster.
+TEST(Placing, AnInteractiveRequestAvoidsABusyLink)
 {
     CellScheduler::Options options;
     options.transferPerToken = 20us;
     auto cell = CellScheduler::create(options).value();
-    EngineSpec writer = engine("d1", Pool::Decode);
-    writer.memory = Pieces(60);
-    cell.setEngines({engine("p1", Pool::Prefill), writer}, Instant(1s));
+    EngineSpec decodeEngine = engine("d1", Pool::Decode);
+    decodeEngine.memory = Pieces(60);
+    cell.setEngines({engine("p1", Pool::Prefill), decodeEngine}, Instant(1s));
     for (int i = 0; i < 4; ++i) {
         PlaceRequest other = request(std::to_string(i), 0, 5s);
         other.prompt = Tokens(4000);
@@ -172,8 +172,8 @@
         cell.onPrefillDone(other.request, {Tokens(4000), Tokens(0), 800ms}, Instant(1s));
         cell.poll(Instant(1s));
     }
-    cell.setEngines({engine("p1", Pool::Prefill), engine("p2", Pool::Prefill), writer}, Instant(1s));
-    cell.onCacheEvents(EngineId("p1"), held(blocks(3)), false);
+    cell.setEngines({engine("p1", Pool::Prefill), engine("p2", Pool::Prefill), decodeEngine}, Instant(1s));
+    cell.onCacheEvents(EngineId("p1"), addedEvents(blocks(3)), false);
     PlaceRequest live = request("live", 1, 800ms);
     live.prefix = blocks(3);
     live.arrival = Instant(1s);
@@ -183,15 +183,15 @@
     EXPECT_EQ(places.front().prefillEngine, EngineId("p2"));
 }
 
-// Story: for a while first tokens come so late that the delay learnt from them is longer than the target leaves. Live
-// requests are refused, so nothing teaches the cell that the way is free again. It must not stay like that.
-TEST(Placing, AnOldDelayRefusesNobodyForEver)
+// For a while first tokens are so late that the measured delay is longer than the target leaves. Interactive requests
+// are refused, so no placed request updates the delay. The refusals must end nevertheless.
+TEST(Placing, AnOldDelayStopsRefusingRequests)
 {
     for (const int rank : {0, 1}) {
         auto cell = smallCell();
         Instant now(1s);
         bool isRefused = false;
-        const auto ask = [&](const std::string &name) {
+        const auto isAccepted = [&](const std::string &name) {
             PlaceRequest place = request(name, rank, 500ms);
             place.arrival = now;
             cell.submit(place, now);
@@ -200,7 +200,7 @@
         };
         for (int i = 0; i < 200 && !isRefused; ++i) {
             const std::string name = std::to_string(i);
-            isRefused = !ask(name);
+            isRefused = !isAccepted(name);
             cell.onPrefillDone(RequestId(name), {Tokens(1000), Tokens(0), 800ms}, now + 80ms);
             cell.poll(now + 80ms);
             now += 2s;
--- a/decide/testing/policies_test.cpp
+++ b/decide/testing/policies_test.cpp
@@ -13,8 +13,8 @@
 namespace fescuesill
 {
 
-// Five hundred callers are refused at once. Told the same time they would come back at once and be refused again; they
-// are told times one after another, as fast as the cell works.
+// Many callers are refused at the same time. With the same retry time they would all retry together and be refused
+// again, so the retry times are spread at the rate at which the cell works.
 TEST(Admission, RefusedCallersAreSpreadOverTheTimeTheirWorkTakes)
 {
     Admission admission(Admission::Options{});
@@ -45,9 +45,9 @@
     EXPECT_NEAR(admission.rate(), 0.5, 0.02);
 }
 
-// One engine of five writes at a third of the speed. It is taken out, tried with one request at a time, and is back
-// when it has recovered.
-TEST(OutlierDetector, SlowOneIsTakenOutProbedAndBroughtBack)
+// One engine of five generates at a third of the speed. It is ejected, probed with one request at a time, and
+// readmitted when it has recovered.
+TEST(OutlierDetector, SlowEndpointIsEjectedProbedAndReadmitted)
 {
     OutlierDetector detector(OutlierDetector::Options{});
     for (EngineSlot slot = 0; slot < 5; ++slot) {
@@ -83,7 +83,7 @@
     EXPECT_EQ(last, std::nullopt);
 }
 
-TEST(OutlierDetector, NeverTakesOutAll)
+TEST(OutlierDetector, NeverEjectsAll)
 {
     for (const EngineSlot count : {1, 2, 3, 9}) {
         OutlierDetector detector(OutlierDetector::Options{});
@@ -117,7 +117,7 @@
     EXPECT_NEAR(budget.left(), 9.5, 0.001);
 }
 
-TEST(RoleShift, ChangesOnlyWhatLastsAndNotBack)
+TEST(RoleShift, ChangesOnlyAfterASustainedShortage)
 {
     RoleShift shift(RoleShift::Options{});
     const RoleShift::View decodeShort{0.5, 0.99, true, 6, 7};
@@ -137,7 +137,7 @@
     }
 }
 
-// Reports are one interval old. Placing by them alone would send everything to the engine that was empty then.
+// Reports are one interval old. Placing by them alone would send every request to the engine that was empty then.
 TEST(PowerOfChoice, SpreadsOnOldReportsAndRefusesWhenFull)
 {
     PowerOfChoice placer(7);
--- a/decide/testing/summarypacer_test.cpp
+++ b/decide/testing/summarypacer_test.cpp
@@ -21,7 +21,7 @@
     return summary;
 }
 
-TEST(SummaryPacer, PublishesWhatChangesAChoiceSoonAndTheRestSeldom)
+TEST(SummaryPacer, PublishesSoonerWhenAChoiceMayChange)
 {
     const std::vector<PacerCase> cases{
         {"nothing new", 9999ms, summaryWith(100ms, 0.5, true), false},
@@ -31,7 +31,7 @@
         {"less delay", 1s, summaryWith(50ms, 0.5, true), true},
         {"more delay, too soon", 999ms, summaryWith(5s, 0.5, true), false},
         {"memory", 1s, summaryWith(100ms, 0.61, true), true},
-        {"closed", 1s, summaryWith(100ms, 0.5, false), true},
+        {"stops accepting", 1s, summaryWith(100ms, 0.5, false), true},
     };
     for (const PacerCase &one : cases) {
         SummaryPacer pacer(SummaryPacer::Options{});
--- a/decide/testing/tables_test.cpp
+++ b/decide/testing/tables_test.cpp
@@ -1,4 +1,5 @@
-// Random scripts against slow oracles: decode memory and prefix index.
+// Decode memory, link schedule and prefix index, the first and last also with random operations against simple
+// reference implementations.
 
 #include "decide/decodememory.h"
 #include "decide/linkschedule.h"
@@ -16,7 +17,7 @@
 
 constexpr int engineCount = 4;
 
-// The sums that are kept up to date equal the sums worked out anew after every step.
+// The incrementally maintained sums equal the sums computed anew after every step.
 RC_GTEST_PROP(DecodeMemoryProperty, SumsMatch, (const std::vector<std::uint16_t> &script))
 {
     DecodeMemory memory(DecodeMemory::Options{});
@@ -46,7 +47,7 @@
             memory.setEngine(engine, Pieces(20), usable[engine]);
             break;
         case 4:
-            // Lagging reports of our own work change nothing.
+            // Late reports of the own work change nothing.
             memory.onReport(engine, Pieces(held[engine]), now);
             break;
         }
@@ -62,7 +63,7 @@
     }
 }
 
-// Two owners place on one engine for a while: what the other one holds shows in the reports and is not given out again.
+// Two owners place on one engine for a while. What the other one holds shows in the reports and is not given out again.
 TEST(DecodeMemory, CountsWhatAnotherOwnerHolds)
 {
     DecodeMemory memory(DecodeMemory::Options{});
@@ -71,7 +72,7 @@
     memory.onReport(0, Pieces(12), Instant(2s));
     EXPECT_EQ(memory.free(0), Pieces(8));
     memory.release(0, Pieces(5), 1s, Instant(3s));
-    // The report is of a time when ours were still there.
+    // The report shows a time when the own pieces were still held.
     memory.onReport(0, Pieces(12), Instant(3100ms));
     EXPECT_EQ(memory.free(0), Pieces(13));
 }
@@ -103,17 +104,17 @@
     EXPECT_EQ(links.waitIn(rack, 200ms, now), 0ms);
     EXPECT_EQ(links.waitIn(links.linkOf("other"), 0ms, now), 0ms);
     links.begin(rack, 80ms, now);
-    EXPECT_EQ(links.moving(rack, now), 1);
+    EXPECT_EQ(links.active(rack, now), 1);
     EXPECT_EQ(links.count(rack, now), 2);
     EXPECT_EQ(links.waitIn(rack, 0ms, now), 140ms);
     links.end(rack);
-    links.giveBack(rack, 60ms);
-    EXPECT_EQ(links.moving(rack, now), 0);
+    links.cancelReservation(rack, 60ms);
+    EXPECT_EQ(links.active(rack, now), 0);
     EXPECT_EQ(links.waitIn(rack, 0ms, now), 0ms);
 }
 
-// The end of a transfer is heard of late; the link is taken for idle when its work should be done.
-TEST(LinkSchedule, WhatWasBegunIsCountedDown)
+// The end of a transfer is reported late, so the link counts as idle when its work should be done.
+TEST(LinkSchedule, TransfersInProgressEndByTheClock)
 {
     LinkSchedule links;
     const std::size_t rack = links.linkOf("rack");
@@ -122,17 +123,17 @@
         links.reserve(rack, 80ms);
         links.begin(rack, 80ms, now);
     }
-    EXPECT_EQ(links.shared(rack), 1U);
+    EXPECT_EQ(links.overlaps(rack), 1U);
     EXPECT_EQ(links.waitIn(rack, 0ms, now + 100ms), 60ms);
-    EXPECT_EQ(links.moving(rack, now + 100ms), 2);
-    EXPECT_EQ(links.moving(rack, now + 160ms), 0);
+    EXPECT_EQ(links.active(rack, now + 100ms), 2);
+    EXPECT_EQ(links.active(rack, now + 160ms), 0);
     links.reserve(rack, 80ms);
     links.begin(rack, 80ms, now + 200ms);
-    EXPECT_EQ(links.shared(rack), 1U);
+    EXPECT_EQ(links.overlaps(rack), 1U);
     EXPECT_EQ(links.waitIn(rack, 0ms, now + 200ms), 80ms);
 }
 
-// A prompt of `depth` blocks of one of a few families; all prompts of a family share their leading blocks.
+// A prompt of `depth` blocks of one of a few families. All prompts of a family share their leading blocks.
 static std::vector<PrefixHash> prompt(int family, int shared, int depth, int tail)
 {
     std::vector<PrefixHash> hashes;
@@ -143,7 +144,7 @@
     return hashes;
 }
 
-// For any script the matches are those of a plain set of (hash, engine) pairs.
+// For any sequence of operations the matches equal those of a plain set of (hash, engine) pairs.
 RC_GTEST_PROP(PrefixIndexProperty, SameMatchesAsASetOfPairs, (const std::vector<std::uint16_t> &script))
 {
     PrefixIndex index(PrefixIndex::Options{});
@@ -187,7 +188,7 @@
     }
 }
 
-TEST(PrefixIndex, ForgetsTheOldestAtItsBound)
+TEST(PrefixIndex, EvictsTheOldestAtItsLimit)
 {
     PrefixIndex::Options options;
     options.maxBlocks = 10;
--- a/programs/scheduler/celldirector.cpp
+++ b/programs/scheduler/celldirector.cpp
@@ -61,7 +61,7 @@
 
 Instant CellDirector::nextWake(Instant now) const
 {
-    Instant wake = now + this->options.summaries.changed;
+    Instant wake = now + this->options.summaries.changedInterval;
     for (const auto &[id, cell] : this->cells) {
         wake = std::min(wake, cell.nextSummary);
         const std::optional<Instant> next = cell.scheduler.nextWake();
@@ -283,7 +283,7 @@
     if (now < cell.nextSummary) {
         return;
     }
-    cell.nextSummary = now + this->options.summaries.changed;
+    cell.nextSummary = now + this->options.summaries.changedInterval;
     const CellSummary summary = cell.scheduler.summary(now);
     if (cell.pacer.isDue(summary, now)) {
         cell.pacer.onPublished(summary, now);
