--- a/decide/cellengines.cpp
+++ b/decide/cellengines.cpp
@@ -39,7 +39,7 @@
     for (EngineSlot slot = 0; slot < this->engines.size(); ++slot) {
         if (this->engines[slot].listed && !named[slot]) {
             this->engines[slot].listed = false;
-            this->loseEngine(slot, now);
+            this->markEngineLost(slot, now);
         }
     }
     this->refreshPools(now);
@@ -83,7 +83,7 @@
     this->memory.setEngine(slot, engine.spec.memory, usable);
 }
 
-void CellState::loseEngine(EngineSlot slot, Instant now)
+void CellState::markEngineLost(EngineSlot slot, Instant now)
 {
     EngineState &engine = this->engines[slot];
     engine.lost = true;
--- a/decide/cellevents.cpp
+++ b/decide/cellevents.cpp
@@ -24,7 +24,7 @@
     }
     const std::string known = this->engines[slot].instance;
     if (!known.empty() && known != report.instance) {
-        this->loseEngine(slot, now);
+        this->markEngineLost(slot, now);
     }
     EngineState &engine = this->engines[slot];
     engine.instance = report.instance;
@@ -59,7 +59,7 @@
 {
     const EngineSlot slot = this->table.find(name);
     if (slot != noEngine) {
-        this->loseEngine(slot, now);
+        this->markEngineLost(slot, now);
     }
 }
 
--- a/decide/cellplacing.cpp
+++ b/decide/cellplacing.cpp
@@ -27,6 +27,7 @@
 
 // Results tried in one poll. They are in order of urgency; results after these would find no memory.
 constexpr int maxReadyTried = 64;
+// A result that expires or misses its target within this time shares its link: about a step and a transfer.
 constexpr Duration deadlineMargin = 200ms;
 constexpr Duration rateWindow = 1s; // time constant of the placing rate of a rank: some fifty requests
 constexpr int maxPlacedPastHead = 20; // urgent requests: a lower rank gets at least one placing in twenty
--- a/decide/cellstate.cpp
+++ b/decide/cellstate.cpp
@@ -116,11 +116,11 @@
 Tokens CellState::expectedReuse(const PlaceRequest &request)
 {
     this->counters.steps += this->prefixes.match(request.prefix, this->matches);
-    std::size_t most = 0;
+    std::size_t longest = 0;
     for (const PrefixIndex::Match &match : this->matches) {
-        most = std::max(most, match.blocks);
+        longest = std::max(longest, match.blocks);
     }
-    const Tokens held(static_cast<std::int64_t>(most) * this->options.prefixBlock.value());
+    const Tokens held(static_cast<std::int64_t>(longest) * this->options.prefixBlock.value());
     return std::min(held, std::max(Tokens(0), request.prompt - Tokens(1)));
 }
 
@@ -363,14 +363,14 @@
     if (const auto last = this->queue.lastRank()) {
         backlog = this->queue.backlog(*last);
     }
-    Duration least = Duration::max();
+    Duration shortest = Duration::max();
     for (const EngineSlot slot : this->prefillSlots) {
         if (this->prefills.usable(slot)) {
             ++summary.prefillEngines;
-            least = std::min(least, this->prefills.ahead(slot, unmeetableRankOffset, now));
+            shortest = std::min(shortest, this->prefills.ahead(slot, unmeetableRankOffset, now));
         }
     }
-    summary.queueDelay = summary.prefillEngines > 0 ? backlog + least : Duration(0);
+    summary.queueDelay = summary.prefillEngines > 0 ? backlog + shortest : Duration(0);
     summary.prefillPerToken = this->options.prefillPerToken;
     summary.freePieces = std::max(Pieces(0), this->memory.totalFree() - this->promised);
     summary.decodeEngines = this->memory.usableEngines();
--- a/decide/cellstate.h
+++ b/decide/cellstate.h
@@ -21,7 +21,7 @@
 // target.
 constexpr Duration maxInteractiveFirstToken = 1s;
 
-constexpr int maxConcurrentTransfers = 3; // transfers that may share one link; with more, none would finish in time
+constexpr int maxConcurrentTransfers = 3; // on one link, urgent ones aside; with more, none would finish in time
 
 class CellState
 {
@@ -132,7 +132,7 @@
     void refreshPools(Instant now);
     void refreshDecode(EngineSlot slot, Instant now);
     void refreshPrefill(EngineSlot slot, Instant now);
-    void loseEngine(EngineSlot slot, Instant now);
+    void markEngineLost(EngineSlot slot, Instant now);
 
     // Requests.
     Record *find(const RequestId &request);
--- a/decide/decodememory.cpp
+++ b/decide/decodememory.cpp
@@ -1,10 +1,10 @@
 // Sums over the usable engines are maintained incrementally: the values of an engine are subtracted before a change and
 // added after it. So a query over the cell costs the same at 13 engines and at 600.
 //
-// Forecast: near full memory there are some fifty releases a second. Waiting for free memory before the prefill would
-// leave pieces unused during prefill and transfer of the request that will use them, a twelfth of the time that a piece
-// is held. By Little's law pieces are released at the rate held / mean hold time, whatever the lengths of the answers
-// are; the length of a single answer is not predicted.
+// Forecast: near full memory there are some fifty releases a second. Without a forecast a request would have to hold
+// its pieces through its prefill and transfer, unused for a twelfth of the time that a piece is held. By Little's law
+// pieces are released at the rate held / mean hold time, whatever the lengths of the answers are; the length of a
+// single answer is not predicted.
 //
 // Reports lag, so a report above what is held now may show an earlier state of the own work. Only what exceeds the peak
 // of the pieces held over the lag is counted as held by another.
--- a/decide/outlierdetector.cpp
+++ b/decide/outlierdetector.cpp
@@ -1,5 +1,5 @@
-// Each endpoint's mean is compared with the median of its peers. The median means that a load that slows all endpoints
-// ejects none, and the mean that one bad answer ejects none.
+// Each endpoint is compared with the median of its peers, so that a load that slows all of them ejects none. It is
+// judged by its mean, so that one bad answer does not eject it.
 //
 // Why: an endpoint of a pool that runs at a fraction of the speed of the others, or fails, makes its share of the
 // requests miss their targets, and work accumulates on it until it holds the pool's memory and callers.
--- a/decide/outputestimate.cpp
+++ b/decide/outputestimate.cpp
@@ -1,10 +1,10 @@
 // Callers' estimates have errors, so a large estimate is on average too large and a small one too small. The best
 // prediction lies between the estimate and the usual length. It is learned as the least-squares line between the
-// logarithms of estimated and generated lengths. For lengths and errors that both have a spread of 0.5, half, it
-// reduces the spread of the prediction from 0.5 to 0.35, which needs a third less memory kept free as a margin.
+// logarithms of estimated and generated lengths. For lengths and errors that both have a spread of 0.5, it reduces the
+// spread of the prediction from 0.5 to 0.35, which needs a third less memory kept free as a margin.
 //
-// A long answer so far suggests a long answer: the rest is the mean of the lognormal beyond what was generated, not the
-// first prediction less what was generated.
+// The rest of an answer is the mean of the lognormal beyond what was generated, not the first prediction less what was
+// generated: an answer that is long already will be a long one.
 
 #include "decide/outputestimate.h"
 
--- a/decide/prefillqueues.h
+++ b/decide/prefillqueues.h
@@ -78,8 +78,8 @@
         bool preempted = false; // another job ran in between, so it cannot be measured
     };
     struct Engine {
-        std::vector<Job>
-            jobs; // In the order in which the engine processes them. Few, see CellScheduler::Options::prefillAhead.
+        // In the order in which the engine processes them. Few, see CellScheduler::Options::prefillAhead.
+        std::vector<Job> jobs;
         double slowness = 1;
         bool usable = false;
     };
--- a/decide/testing/policies_test.cpp
+++ b/decide/testing/policies_test.cpp
@@ -13,8 +13,8 @@
 namespace fescuesill
 {
 
-// Many callers are refused at the same time. With the same retry time they would all retry together and be refused
-// again, so the retry times are spread at the rate at which the cell works.
+// Five hundred callers are refused at the same time. With the same retry time they would all retry together and be
+// refused again, so the retry times are spread at the rate at which the cell works.
 TEST(Admission, RefusedCallersAreSpreadOverTheTimeTheirWorkTakes)
 {
     Admission admission(Admission::Options{});
