--- a/decide/generationgate.cpp
+++ b/decide/generationgate.cpp
@@ -110,7 +110,7 @@
 {
     const double decay = this->needDecay(now);
     const auto output =
-        static_cast<double>(this->estimate.expect(request.output, request.maxOutput).left(Tokens(0)).value());
+        static_cast<double>(this->estimate.expect(request.output, request.maxOutput).remaining(Tokens(0)).value());
     const double meanHeld = static_cast<double>(request.prompt.value()) + output / 2;
     this->promptTokens = this->promptTokens * decay + static_cast<double>(request.prompt.value());
     this->heldTokenUs = this->heldTokenUs * decay + meanHeld * output * this->perTokenUs;
--- a/decide/memoryforecast.cpp
+++ b/decide/memoryforecast.cpp
@@ -19,7 +19,7 @@
 Remaining remainingOf(const GrowingRun &run, double perTokenUs, Instant now)
 {
     const double generated = std::max(0.0, static_cast<double>((now - run.started).count()) / perTokenUs);
-    const Tokens left = run.output.left(Tokens(static_cast<std::int64_t>(generated)));
+    const Tokens left = run.output.remaining(Tokens(static_cast<std::int64_t>(generated)));
     return {static_cast<double>(run.prompt.value()) + generated, static_cast<double>(left.value())};
 }
 
