--- a/base/testing/errors_test.cpp
+++ b/base/testing/errors_test.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-TEST(Errors, CodesHaveDistinctStableNamesAndAnErrorStatus)
+TEST(Errors, CodesHaveDistinctNamesAndAnErrorStatus)
 {
     std::set<std::string_view> names;
     for (int code = 0; code <= static_cast<int>(RefusalCode::Internal); ++code) {
--- a/include/fescuesill/errors.h
+++ b/include/fescuesill/errors.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// What a caller is told when it gets no answer.
+// The refusal that a caller receives in place of an answer.
 //
 //     Refusal refusal{RefusalCode::Overloaded, RunState::NotRun, "no decode place before the deadline", 800ms};
 //     httpStatus(refusal.code);      // 503
 //     codeName(refusal.code);        // "overloaded", stable over releases
 //
-// Each layer has an error type of its own and turns those of the layer below into it; only Refusal reaches a caller.
+// Each layer has its own error type and converts those of the layer below into it. Only a Refusal reaches a caller.
 
 #include "fescuesill/units.h"
 
@@ -17,7 +17,7 @@
 namespace fescuesill
 {
 
-// Whether the work behind a request was carried out. NotRun is a promise: it was not and will not be.
+// Whether the work of a request was carried out. NotRun guarantees that it was not and will not be.
 enum class RunState {
     NotRun,
     MayHaveRun,
@@ -26,22 +26,22 @@
 
 enum class RefusalCode {
     BadRequest, // malformed body, header or parameter
-    TooLarge, // header or body over its limit
-    Timeout, // the caller sent too slowly
+    TooLarge, // the header or body exceeds its limit
+    Timeout, // the caller sent the request too slowly
     UnknownService,
     MethodNotAllowed,
     BadIdempotencyKey, // missing, malformed, or used before with another body
     BadResumeToken, // forged, expired, or another caller's
-    StreamGone, // the stream that a token names is no longer held
-    Overloaded, // a target cannot be met now; come back after retryAfter
-    QuotaExceeded, // this workspace has its share
-    Draining, // this host is stopping; another one answers
-    NoConfiguration, // cut off past the freshness limit
-    StoreUnavailable, // the platform's table cannot take the record
+    StreamGone, // the stream of the token is no longer held
+    Overloaded, // the target cannot be met now; retry after retryAfter
+    QuotaExceeded, // the workspace has used its share
+    Draining, // this host is stopping; retry at another host
+    NoConfiguration, // there is no configuration within the freshness limit
+    StoreUnavailable, // the platform's table cannot store the record
     EndpointFailed, // the endpoint failed and the call was not repeated
-    OutcomeUnknown, // the call may have run; ask again with the same key
-    InProgress, // the same key is being run now
-    StatedNotRun, // an operator states that the call was not run; its key stays closed
+    OutcomeUnknown, // the call may have run; retry with the same key
+    InProgress, // a call with the same key is running
+    StatedNotRun, // an operator stated that the call was not run; its key stays closed
     Internal,
 };
 
@@ -49,11 +49,11 @@
     RefusalCode code = RefusalCode::Internal;
     RunState run = RunState::NotRun;
     std::string text;
-    // When coming back helps; none where it does not.
+    // The time after which a retry may succeed; none if a retry does not help.
     std::optional<Duration> retryAfter;
 };
 
-// Stable names for JSON bodies, logs and metrics.
+// Names for JSON bodies, logs and metrics. They are stable over releases.
 std::string_view codeName(RefusalCode code);
 std::string_view runStateName(RunState state);
 int httpStatus(RefusalCode code);
--- a/include/fescuesill/ids.h
+++ b/include/fescuesill/ids.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Strong types for names. Two ids of different kinds cannot be mixed up or compared:
+// Strong types for names. Ids of different kinds cannot be assigned to each other or compared:
 //
 //     const EngineId engine("athens-p1");
 //     const HostId host("athens-a");
@@ -17,7 +17,7 @@
 namespace fescuesill
 {
 
-// A name of one kind. Empty means "none".
+// A name of one kind. An empty id means none.
 template<typename Tag>
 class Id
 {
@@ -58,27 +58,27 @@
     std::string text;
 };
 
-// One of our own machines; an entry and a scheduler run on each.
+// A machine of the fleet, which runs an entry and a scheduler.
 using HostId = Id<struct HostTag>;
 using DataCentreId = Id<struct DataCentreTag>;
-// A model engine that reads prompts or writes answers.
+// A model engine for prefill or decode.
 using EngineId = Id<struct EngineTag>;
-// A plain application server beside the engines.
+// An application server that is not a model engine.
 using EndpointId = Id<struct EndpointTag>;
 using ModelId = Id<struct ModelTag>;
 using ServiceId = Id<struct ServiceTag>;
-// The tenant a request is accounted to.
+// The tenant to which a request is accounted.
 using WorkspaceId = Id<struct WorkspaceTag>;
-// One caller's request, unique over all entries.
+// A request of a caller. Unique over all entries.
 using RequestId = Id<struct RequestTag>;
-// One generation on one writing engine.
+// A generation on a decode engine.
 using StreamId = Id<struct StreamTag>;
-// One try at a call that may run at most once.
+// An attempt at a call that must run at most once.
 using AttemptId = Id<struct AttemptTag>;
 // A prefill result held by an engine.
 using KvId = Id<struct KvTag>;
 
-// One model in one data centre: the unit that one scheduler decides for.
+// A cell: one model in one data centre, scheduled by one owner.
 struct CellId {
     ModelId model;
     DataCentreId dataCentre;
--- a/include/fescuesill/overloaded.h
+++ b/include/fescuesill/overloaded.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// A visitor made of one lambda for each alternative of a variant.
+// A visitor for std::visit, made of a lambda for each alternative of a variant.
 //
 //     std::visit(Overloaded{[](const Full &) { ... }, [](const Failed &failed) { ... }}, outcome);
 
--- a/include/fescuesill/units.h
+++ b/include/fescuesill/units.h
@@ -6,8 +6,8 @@
 //     const Pieces held = piecesFor(prompt + Tokens(200));   // Pieces(3)
 //     const Instant deadline = now + 550ms;
 //
-// Decisions never read a clock: every call that needs the time takes an Instant. Programs make one from the steady
-// clock, tests count it up by hand.
+// Code that makes decisions never reads a clock: every function that needs the time takes an Instant. Programs read it
+// from the steady clock, and tests advance it themselves.
 
 #include <chrono>
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 using namespace std::chrono_literals;
 
-// The time line of decisions. It has no now(): the time is always passed in.
+// The clock type of Instant. It has no now(), because the time is always passed in.
 struct Timeline {
     using duration = std::chrono::microseconds;
     using rep = duration::rep;
@@ -98,21 +98,21 @@
 };
 
 using Tokens = Count<struct TokensTag>;
-// Engine memory is allotted in pieces of tokensPerPiece tokens.
+// Blocks of KV cache. The memory of an engine is allocated in pieces of tokensPerPiece tokens.
 using Pieces = Count<struct PiecesTag>;
 using Bytes = Count<struct BytesTag>;
-// Version of the declaration; strictly increasing, 0 is "none yet".
+// Version of the declaration. Strictly increasing; 0 means that there is none yet.
 using ConfigVersion = Count<struct ConfigVersionTag>;
-// Version of one row of the platform's table; 0 is "absent".
+// Version of a row of the platform's table. 0 means that the row is absent.
 using RowVersion = Count<struct RowVersionTag>;
-// Orders to engines carry one; an engine that checks refuses a lower one than it has seen.
+// Sent with each order to an engine. An engine that checks it refuses a number lower than the highest it has seen.
 using FencingNumber = Count<struct FencingNumberTag>;
-// Position in the text of an answer, in fragments.
+// A position in the output of a generation, counted in fragments.
 using Offset = Count<struct OffsetTag>;
 
 constexpr std::int64_t tokensPerPiece = 4096;
 
-// The engine memory that a context of this length takes.
+// The engine memory taken by a context of this length, rounded up to whole pieces.
 constexpr Pieces piecesFor(Tokens tokens)
 {
     return Pieces((tokens.value() + tokensPerPiece - 1) / tokensPerPiece);
--- a/wire/clock.h
+++ b/wire/clock.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The clocks of a program as Instants, to be passed into decisions.
+// Reads the clocks of the system as Instants, which are passed to the code that makes decisions.
 //
 //     cell.poll(steadyNow());
 //     ordering.on(event, sharedNow());
@@ -12,14 +12,14 @@
 namespace fescuesill
 {
 
-// Never jumps; means nothing on another host.
+// The monotonic clock. Never jumps. Its values cannot be compared between hosts.
 inline Instant steadyNow()
 {
     return Instant(std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch()));
 }
 
-// Never jumps and goes on while the host is suspended; means nothing on another host. For leases: a steady clock that
-// stops with the host would find an old lease still good.
+// The monotonic clock that also advances while the host is suspended. Its values cannot be compared between hosts.
+// Leases use it: by a clock that stops during suspension, an expired lease would still be valid.
 inline Instant bootNow()
 {
     timespec time{};
@@ -27,7 +27,7 @@
     return Instant(Duration(std::int64_t{time.tv_sec} * 1'000'000 + time.tv_nsec / 1000));
 }
 
-// Wall clock time, to be compared with what other hosts wrote, within the clock margin.
+// Wall clock time. It can be compared with times written by other hosts, within the clock margin.
 inline Instant sharedNow()
 {
     return Instant(std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()));
--- a/wire/coroutine.h
+++ b/wire/coroutine.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Starts a coroutine on an io_context that one thread runs.
+// Starts a coroutine on an io_context that is run by a single thread.
 //
 //     startCoroutine(io, [this](const asio::yield_context &yield) { this->serve(yield); });
 
@@ -13,11 +13,11 @@
 
 namespace asio = boost::asio;
 
-// Room for the deepest call chain of a request with its parsers; only the pages that are touched take memory.
-constexpr std::size_t coroutineStack = 64 << 10;
+// Enough for the deepest call chain of a request, including its parsers. Only the pages in use take memory.
+constexpr std::size_t coroutineStackBytes = 64 << 10;
 
-// asio::spawn(io, ...) puts every resumption through a strand. One thread runs each of our contexts, so the strand's
-// lock guards nothing; binding to the plain executor leaves it out.
+// asio::spawn(io, ...) resumes the coroutine through a strand. Each context is run by one thread, so the lock of the
+// strand protects nothing. Binding the coroutine to the plain executor avoids the lock.
 template<typename Function>
 void startCoroutine(asio::io_context &io, Function &&function)
 {
@@ -25,7 +25,7 @@
     };
     const asio::any_io_executor executor = io.get_executor();
     asio::spawn(asio::bind_executor(executor, done), std::forward<Function>(function),
-                boost::coroutines::attributes(coroutineStack));
+                boost::coroutines::attributes(coroutineStackBytes));
 }
 
 } // namespace fescuesill
--- a/wire/daemon.cpp
+++ b/wire/daemon.cpp
@@ -19,16 +19,16 @@
 
 cxxopts::Options commandLine(const Daemon &daemon)
 {
-    cxxopts::Options options(daemon.name, daemon.duty);
+    cxxopts::Options options(daemon.name, daemon.description);
     options.add_options()("config", "settings file", cxxopts::value<std::string>(), "FILE")(
-        "check", "validate the settings and exit")("version", "print the version")("h,help", "print this");
+        "check", "validate the settings and exit")("version", "print the version")("h,help", "print this help");
     return options;
 }
 
 int runParsed(const Daemon &daemon, const cxxopts::ParseResult &given, const RunWithSettings &run)
 {
     if (given.count("config") == 0) {
-        std::cerr << daemon.name << ": --config FILE is needed; see --help\n";
+        std::cerr << daemon.name << ": --config FILE is required; see --help\n";
         return BadInput;
     }
     const auto ended = run(given["config"].as<std::string>(), given.count("check") != 0);
--- a/wire/daemon.h
+++ b/wire/daemon.h
@@ -1,14 +1,15 @@
 #pragma once
 
-// The command line that our long-running programs share: --config FILE, --check, --version, --help.
+// The command line that the long-running programs share: --config FILE, --check, --version, --help.
 //
 //     int main(int argc, char **argv)
 //     {
-//         const Daemon daemon{"fescuesill-entry", "Takes callers' requests and carries them to engines and
-//         endpoints."}; return runDaemon(daemon, argc, argv, EntrySettings::fromFile, runEntry);
+//         const Daemon daemon{"fescuesill-entry", "Forwards callers' requests to engines and endpoints."};
+//         return runDaemon(daemon, argc, argv, EntrySettings::fromFile, runEntry);
 //     }
 //
-// Exit codes: 0 a planned stop or a good check, 1 failed, 2 a bad command line or settings with faults.
+// Exit codes: 0 for a planned stop or valid settings, 1 for a failure, 2 for an invalid command line or invalid
+// settings.
 
 #include "declare/settings.h"
 
@@ -21,10 +22,10 @@
 
 struct Daemon {
     std::string name;
-    std::string duty;
+    std::string description; // shown by --help
 };
 
-// Reads the settings of this file and, unless only checking, runs with them.
+// Reads the settings from `file` and, unless `isCheck` is set, runs the program with them. Returns the exit code.
 using RunWithSettings = std::function<tl::expected<int, DeclareError>(const std::string &file, bool isCheck)>;
 
 int runDaemon(const Daemon &daemon, int argc, char **argv, const RunWithSettings &run);
--- a/wire/degradedmodes.h
+++ b/wire/degradedmodes.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// The degraded modes of a process and since when, as /status shows them.
+// The degraded modes that a process is in, with their start times, as shown by /status.
 //
 //     DegradedModes modes;
-//     modes.set("platform_unreachable", !isReachable);      // each time it is looked at
+//     modes.set("platform_unreachable", !isReachable);      // at each check
 //     status["degraded"] = toJson(modes);
 //
-// Safe on any thread.
+// Thread-safe.
 
 #include <ctime>
 #include <map>
@@ -26,13 +26,13 @@
 class DegradedModes
 {
 public:
-    // Keeps the time of the change; says the same again cheaply.
+    // Records the time of a change and logs it. A call that changes nothing is cheap.
     void set(const std::string &mode, bool isOn);
     std::vector<DegradedMode> list() const;
 
 private:
     mutable std::mutex mutex;
-    std::map<std::string, std::time_t> since; // as many as the program names
+    std::map<std::string, std::time_t> since; // by mode; bounded by the number of modes that the program sets
 };
 
 // A list of {"mode","since"}.
--- a/wire/linkguard.cpp
+++ b/wire/linkguard.cpp
@@ -8,31 +8,31 @@
 #include <algorithm>
 #include <openssl/rand.h>
 
-// Failure: somebody without the key opens connections and says nothing. It shows as a node whose places are all taken,
-// so that no host gets a link. A connection that has proved nothing ends after proofLimit, and past maxUnproven the
-// oldest one ends at once: an honest peer is through in milliseconds, and refusing new ones instead would hand the
-// places to whoever took them first.
+// A client without the key can open connections and send nothing, until the node accepts no more links. So a connection
+// that has not been authenticated is closed after proofLimit, and when there are more than maxUnproven of them the
+// oldest is closed at once. Evicting the oldest is safe because the handshake of a legitimate peer takes milliseconds.
+// Refusing new connections instead would let an attacker keep all slots.
 //
-// The names that are logged are what the other end says of itself before it has proved anything: a hint for a person,
-// and nothing is decided by it.
+// The logged names are those that the other end claimed before it was authenticated. They are hints for operators only,
+// and no decision depends on them.
 
 namespace fescuesill
 {
 namespace
 {
 
-constexpr Duration lately = 30s;
+constexpr Duration recentRefusalAge = 30s;
 
 LinkNonce freshNonce()
 {
     LinkNonce nonce{};
     if (RAND_bytes(reinterpret_cast<unsigned char *>(nonce.data()), static_cast<int>(nonce.size())) != 1) {
-        throw WireError("no random numbers for a link");
+        throw WireError("cannot generate random bytes for the nonce of a link");
     }
     return nonce;
 }
 
-// One form for each address: both ends compare texts.
+// Returns the canonical form of an address, because the two ends of a link compare addresses as text.
 std::string canonical(const std::string &text)
 {
     const auto address = Address::parse(text);
@@ -105,7 +105,8 @@
     return found == this->links.end() ? std::string() : found->second.auth.seal(payload);
 }
 
-// A connection that we dialled and the other end closed before it was proven: most likely it does not accept our key.
+// If the other end closed an outgoing connection before the handshake succeeded, it most likely does not accept this
+// node's key.
 void LinkGuard::lost(LinkId link, Instant now)
 {
     const auto found = this->unproven.find(link);
@@ -158,7 +159,7 @@
 bool LinkGuard::hasRefusedLately(Instant now) const
 {
     const std::int64_t at = this->refusedAt;
-    return at != 0 && now - Instant(Duration(at)) < lately;
+    return at != 0 && now - Instant(Duration(at)) < recentRefusalAge;
 }
 
 void LinkGuard::refuse(const Guarded &guarded, const char *cause, Instant now)
@@ -168,9 +169,9 @@
     const std::string &name = guarded.auth.peer().value();
     const auto address = Address::parse(guarded.connection.address);
     const bool isDialled = guarded.connection.side == Side::Dialled;
-    // The port of a connection that was accepted changes each time.
-    const std::string place = address && !isDialled ? address->ip : guarded.connection.address;
-    this->refusals.note((name.empty() ? "unknown" : name) + " at " + place, cause, now);
+    // The remote port of an accepted connection differs each time, so it is not logged.
+    const std::string source = address && !isDialled ? address->ip : guarded.connection.address;
+    this->refusals.note((name.empty() ? "unknown" : name) + " at " + source, cause, now);
 }
 
 } // namespace fescuesill
--- a/wire/linkguard.h
+++ b/wire/linkguard.h
@@ -1,17 +1,17 @@
 #pragma once
 
-// The proofs of all links of one node: opens each with fresh nonces, bounds those that have proved nothing, and counts
-// what it refuses.
+// Authenticates the links of one node: runs the handshake of each link with fresh nonces, bounds the number of
+// unauthenticated links, and counts the refused ones.
 //
 //     LinkGuard guard(fleetKeys, {host, listeningAddress});
-//     send(link, guard.begin(link, {LinkGuard::Side::Dialled, address}, now));    // a connection is up
-//     const auto arrival = guard.on(link, bytes, now);          // a LinkFault: end the connection
-//     send(link, guard.seal(link, payload));                    // once proven
-//     for (const LinkId late : guard.overdue(now)) { ... end it ... }
-//     guard.lost(link, now);                                    // the connection is gone
-//     guard.end(link);                                          // it was given up here
+//     send(link, guard.begin(link, {LinkGuard::Side::Dialled, address}, now));    // a connection was established
+//     const auto arrival = guard.on(link, bytes, now);          // on a LinkFault, close the connection
+//     send(link, guard.seal(link, payload));                    // after the handshake
+//     for (const LinkId late : guard.overdue(now)) { ... close it ... }
+//     guard.lost(link, now);                                    // the connection was closed
+//     guard.end(link);                                          // the connection was closed by this node
 //
-// Used from the thread of the node, but for the counts.
+// Not thread-safe, except for the counts: all other calls come from the thread of the node.
 
 #include "promise/linkauth.h"
 #include "wire/linkid.h"
@@ -28,16 +28,17 @@
 {
 public:
     struct Options {
-        // Two round trips and a busy host; who needs longer opens again.
+        // Limit on the duration of the handshake. It allows for two round trips to a busy host. A peer that takes
+        // longer has to reconnect.
         Duration proofLimit = 2s;
-        // Accepted and not proven; each holds some 20 KB. All 340 hosts of a fleet opening a link at once take
-        // milliseconds each.
+        // Limit on accepted links that are not authenticated yet. Each takes about 20 KB. Even when all 340 hosts of a
+        // fleet open links at once, each handshake takes milliseconds.
         std::size_t maxUnproven = 256;
     };
 
     enum class Side {
-        Dialled, // from here, at this address
-        Accepted, // from this address
+        Dialled, // outgoing, to the address of the connection
+        Accepted, // incoming, from the address of the connection
     };
 
     struct Connection {
@@ -46,26 +47,27 @@
     };
 
     struct Arrival {
-        std::string reply; // of the opening; empty: none
-        bool isNowProven = false;
-        std::optional<std::string_view> payload; // of the bytes given
+        std::string reply; // the next message of the handshake to send; empty if there is none
+        bool isNowProven = false; // the handshake has just succeeded
+        std::optional<std::string_view> payload; // refers to the bytes passed in
     };
 
     LinkGuard(const KeyRing &fleet, LinkEnd self);
     LinkGuard(const KeyRing &fleet, LinkEnd self, Options options);
 
-    // The first message to send, empty where the other end begins.
+    // Starts the handshake. Returns the first message to send, or an empty string if the other end sends first.
     std::string begin(LinkId link, const Connection &connection, Instant now);
     tl::expected<Arrival, LinkFault> on(LinkId link, std::string_view bytes, Instant now);
     std::string seal(LinkId link, std::string_view payload);
     void lost(LinkId link, Instant now);
     void end(LinkId link);
 
-    // The accepted link that has been unproven longest, where there are too many.
+    // The oldest accepted link without a proof, if there are more than maxUnproven.
     std::optional<LinkId> surplus() const;
+    // Ends the links that exceeded proofLimit and returns them.
     std::vector<LinkId> overdue(Instant now);
 
-    // Safe on any thread.
+    // Thread-safe.
     std::uint64_t refused() const;
     bool hasRefusedLately(Instant now) const;
 
@@ -81,11 +83,11 @@
     KeyRing keys;
     LinkEnd self;
     Options options;
-    std::map<LinkId, Guarded> links; // as many as the node has
-    std::map<LinkId, Side> unproven; // ids rise, so the first is the oldest
+    std::map<LinkId, Guarded> links; // bounded by the links of the node
+    std::map<LinkId, Side> unproven; // ids increase, so the first entry is the oldest link
     RefusalLog refusals{"link_refused"};
     std::atomic<std::uint64_t> refusedCount{0};
-    std::atomic<std::int64_t> refusedAt{0}; // in the units of Duration; 0: never
+    std::atomic<std::int64_t> refusedAt{0}; // time of the last refusal, in the unit of Duration; 0 if there was none
 };
 
 } // namespace fescuesill
--- a/wire/linkid.h
+++ b/wire/linkid.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// A link of a PeerNode; an outgoing one keeps its id over reconnects.
+// Identifies a link of a PeerNode. An outgoing link keeps its id over reconnects.
 
 #include <cstdint>
 
--- a/wire/log.cpp
+++ b/wire/log.cpp
@@ -12,25 +12,25 @@
 #include <spdlog/async.h>
 #include <spdlog/sinks/stdout_sinks.h>
 
-// A line is built by the thread that logs and written by the logger's own, so a pipe that nobody reads holds up no
-// caller. The queue takes the last lines rather than the first: after a fault the end is what explains it.
+// The logging thread formats a line and a thread of the logger writes it, so a pipe that nobody reads blocks no caller.
+// A full queue drops the oldest lines, because the last lines before a fault explain it best.
 
 namespace fescuesill
 {
 namespace
 {
 
-// Lines that wait to be written; some 400 bytes each. A busy host logs some hundred lines a second, so this is seconds
-// of a reader that does not read.
-constexpr std::size_t queuedLines = 1024;
+// Capacity of the queue. A line takes about 400 bytes. A busy host logs about a hundred lines a second, so the queue
+// covers several seconds in which nobody reads the output.
+constexpr std::size_t maxQueuedLines = 1024;
 
 struct LogState {
     std::string process = "fescuesill";
-    std::string host; // as it stands in a line
-    LogLevel least = LogLevel::Info;
+    std::string host; // formatted for a line: " host=NAME", or empty
+    LogLevel minLevel = LogLevel::Info;
     std::shared_ptr<spdlog::details::thread_pool> writer; // null until opened
     std::shared_ptr<spdlog::async_logger> logger;
-    std::atomic<std::size_t> leftOut{0}; // of those that a line has told of
+    std::atomic<std::size_t> reportedDrops{0}; // number of dropped lines that the log has reported
 };
 
 LogState &state()
@@ -51,7 +51,7 @@
     return text.empty();
 }
 
-// What a caller sent may end up in a log: quoting keeps one event on one line.
+// Logged values may contain bytes sent by callers. Quoting keeps each event on one line.
 void appendQuoted(fmt::memory_buffer &line, std::string_view text)
 {
     if (!needsQuotes(text)) {
@@ -92,13 +92,13 @@
     std::fputc('\n', stderr);
 }
 
-void tellLeftOut()
+void reportDroppedLines()
 {
     if (!state().writer) {
         return;
     }
     const std::size_t count = state().writer->overrun_counter();
-    const std::size_t before = state().leftOut.exchange(count);
+    const std::size_t before = state().reportedDrops.exchange(count);
     if (count > before) {
         fmt::memory_buffer line;
         appendTime(line);
@@ -110,7 +110,7 @@
 
 void write(LogLevel level, std::string_view event, std::initializer_list<LogField> fields)
 {
-    if (level < state().least) {
+    if (level < state().minLevel) {
         return;
     }
     fmt::memory_buffer line;
@@ -122,7 +122,7 @@
         appendQuoted(line, field.value);
     }
     put({line.data(), line.size()});
-    tellLeftOut();
+    reportDroppedLines();
 }
 
 } // namespace
@@ -175,12 +175,12 @@
 {
 }
 
-void Log::open(std::string process, LogLevel least, const std::string &host)
+void Log::open(std::string process, LogLevel minLevel, const std::string &host)
 {
     state().process = std::move(process);
     state().host = host.empty() ? std::string() : " host=" + host;
-    state().least = least;
-    state().writer = std::make_shared<spdlog::details::thread_pool>(queuedLines, 1);
+    state().minLevel = minLevel;
+    state().writer = std::make_shared<spdlog::details::thread_pool>(maxQueuedLines, 1);
     state().logger =
         std::make_shared<spdlog::async_logger>("fescuesill", std::make_shared<spdlog::sinks::stdout_sink_st>(),
                                                state().writer, spdlog::async_overflow_policy::overrun_oldest);
@@ -196,7 +196,7 @@
 void Log::close()
 {
     state().logger.reset();
-    state().writer.reset(); // its thread ends when the queue is empty
+    state().writer.reset(); // its thread exits after it has written the queue
 }
 
 void Log::debug(std::string_view event, std::initializer_list<LogField> fields)
--- a/wire/log.h
+++ b/wire/log.h
@@ -2,9 +2,7 @@
 
 // Structured logs on standard output, one key=value line for each event.
 //
-//     Log::open("entry", LogLevel::Info);                 // a program that only answers an operator leaves this out,
-//     and
-//                                                         // its few lines go to standard error
+//     Log::open("entry", LogLevel::Info);      // without it, as in command-line tools, lines go to standard error
 //     Log::info("placed", {{"request", id.value()}, {"engine", engine.value()}, {"waited_ms", 12}});
 //     // time=2026-01-02T03:04:05.678Z level=info process=entry event=placed request=r1 engine=a-p1 waited_ms=12
 
@@ -25,7 +23,8 @@
     Error,
 };
 
-// A key and its value; values with blanks, quotes or control characters are quoted.
+// A key and its value. Values that are empty or contain spaces, quotes, backslashes, '=' or control characters are
+// quoted.
 struct LogField {
     LogField(std::string_view name, std::string_view text);
     LogField(std::string_view name, const char *text);
@@ -43,14 +42,13 @@
 class Log
 {
 public:
-    // Once, before the threads start. From then on a line costs its caller no wait: it goes into a bounded queue that a
-    // thread of its own writes out. Where the reader of the logs is too slow the oldest lines give way, and a line says
-    // how many.
-    // `host` is named in each line where it is given.
-    static void open(std::string process, LogLevel least, const std::string &host = {});
-    // Lines left out since the start.
+    // Called once, before any threads start. From then on logging never blocks: lines go into a bounded queue, which a
+    // separate thread writes out. If the reader of the output is too slow, the oldest lines are dropped, and a line
+    // reports how many. Each line names `host` if it is not empty.
+    static void open(std::string process, LogLevel minLevel, const std::string &host = {});
+    // The number of lines dropped since the start.
     static std::size_t droppedLines();
-    // Writes out what is queued. At the end of a process.
+    // Writes out the queued lines. Called at the end of a process.
     static void close();
 
     static void debug(std::string_view event, std::initializer_list<LogField> fields = {});
--- a/wire/messagefields.h
+++ b/wire/messagefields.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// Fields of the messages between our processes as elements of a CBOR array; private to the sources of the messages.
+// Writes and reads the fields of the messages between processes as elements of a CBOR array. Private to messages.cpp.
 //
 //     Writer writer(index);
 //     writer(message.request);                  // each field in the order of the struct
 //     Reader reader(array);
-//     reader(message.request);                  // WireError for a wrong kind, too few or too many
+//     reader(message.request);                  // WireError for a wrong type, and for too few or too many fields
 //     reader.finish();
 
 #include "wire/messages.h"
@@ -17,10 +17,11 @@
 
 using Json = nlohmann::json;
 
-// A Holding of a full entry, or the declaration of 600 engines, is well below a million items.
+// Maximum length of a list. A Holding message of a fully loaded entry and a declaration of 600 engines are both well
+// below it.
 constexpr std::size_t maxItems = 1'000'000;
 
-// Fields are written and read by the same list of members, so the two directions cannot drift apart.
+// Appends fields to a CBOR array.
 class Writer
 {
 public:
@@ -86,6 +87,7 @@
     Json array;
 };
 
+// Reads the fields of a CBOR array in order, starting after the index of the message.
 class Reader
 {
 public:
@@ -116,7 +118,7 @@
     {
         const Json &item = this->next();
         if (!item.is_number_unsigned()) {
-            throw WireError("an unsigned number was expected");
+            throw WireError("expected an unsigned number");
         }
         number = item.get<std::uint64_t>();
     }
@@ -128,7 +130,7 @@
     {
         const Json &item = this->next();
         if (!item.is_number()) {
-            throw WireError("a number was expected");
+            throw WireError("expected a number");
         }
         number = item.get<double>();
     }
@@ -169,7 +171,7 @@
         numbers.reserve(items.size());
         for (const Json &item : items) {
             if (!item.is_number_unsigned()) {
-                throw WireError("an unsigned number was expected");
+                throw WireError("expected an unsigned number");
             }
             numbers.push_back(item.get<std::uint64_t>());
         }
@@ -196,14 +198,14 @@
     {
         const Json &items = this->next();
         if (!items.is_array() || items.size() > maxItems) {
-            throw WireError("a list was expected");
+            throw WireError("expected a list");
         }
         return items;
     }
     static std::int64_t integerOf(const Json &item)
     {
         if (!item.is_number_integer()) {
-            throw WireError("an integer was expected");
+            throw WireError("expected an integer");
         }
         return item.get<std::int64_t>();
     }
--- a/wire/messages.cpp
+++ b/wire/messages.cpp
@@ -1,15 +1,16 @@
 #include "wire/messagefields.h"
 
-// A message is a CBOR array: its index in the variant, then its fields in the order of the struct. Arrays keep the
-// messages that are sent for each request small; field names would double them. Every field is read by a typed accessor
-// that throws on the wrong kind, so a peer that speaks nonsense yields one WireError and changes nothing.
+// A message is a CBOR array: its index in the variant, then its fields in the order of the struct. There are no field
+// names, because they would double the size of the messages that are sent for each request. Every field is read by a
+// typed accessor that throws on the wrong type, so malformed bytes from a peer yield one WireError and change no state.
 
 namespace fescuesill::peer
 {
 namespace
 {
 
-// fields(message, visitor) names the members of each message once.
+// fields(visitor, message) lists the members of each message. Writer and Reader share the lists, so that the two
+// directions cannot differ.
 template<typename Visitor>
 void fields(Visitor &visit, Hello &m)
 {
@@ -317,7 +318,7 @@
     items.reserve(list.size());
     for (const Json &item : list) {
         if (!item.is_array()) {
-            throw WireError("a list was expected");
+            throw WireError("expected a list");
         }
         Reader inner(item);
         fields(inner, items.emplace_back());
@@ -341,7 +342,7 @@
         reader.finish();
         return message;
     } else {
-        throw WireError("no message has this number");
+        throw WireError("unknown message number");
     }
 }
 
--- a/wire/messages.h
+++ b/wire/messages.h
@@ -1,12 +1,13 @@
 #pragma once
 
-// The messages between our processes, each a struct, and their CBOR form.
+// The messages between the processes of fescuesill, each a struct, and their CBOR encoding.
 //
 //     const std::string bytes = peer::encodeMessage(peer::Submit{...});
-//     const auto message = peer::decodeMessage(bytes);             // WireError for anything that is not a message
+//     const auto message = peer::decodeMessage(bytes);             // WireError if the bytes are not a message
 //     std::visit(Overloaded{[](const peer::Placed &placed) { ... }, [](const auto &) { ... }}, *message);
 //
-// Times travel as remaining durations, never as clock readings: two hosts' clocks need not agree.
+// Times are sent as durations, never as clock readings, because the clocks of two hosts may differ. The order of the
+// structs in the variant, of their fields and of the enumerators is the wire format.
 
 #include "decide/cellmessages.h"
 #include "fescuesill/errors.h"
@@ -32,7 +33,7 @@
     bool isEntry = false;
 };
 
-// Entry to the owner of a cell: find engines for this request.
+// Entry to the owner of a cell: requests engines for a caller's request.
 struct Submit {
     RequestId request;
     CellId cell;
@@ -44,7 +45,8 @@
     Duration waited{0}; // since the caller's request arrived
 };
 
-// Read the prompt at one engine, decode at the other. Not ready: wait for StartDecode, at most until expiry.
+// Owner to the entry: the engines for prefill and decode. If `decodeReady` is false, the entry waits for StartDecode,
+// but not longer than `expiry`.
 struct Placed {
     RequestId request;
     EngineId prefillEngine;
@@ -61,7 +63,7 @@
     std::string decodeAddress;
 };
 
-// The request is given up. Final.
+// The owner has refused the request. No other message about it follows.
 struct Refused {
     RequestId request;
     Refusal refusal;
@@ -69,9 +71,9 @@
 
 struct PrefillDone {
     RequestId request;
-    Tokens read;
-    Tokens reused;
-    Duration keep{0};
+    Tokens read; // prompt tokens that the engine computed
+    Tokens reused; // prompt tokens that it had in its cache
+    Duration keep{0}; // how long the engine keeps the result
 };
 
 struct PrefillFailed {
@@ -79,13 +81,13 @@
     PrefillFault fault = PrefillFault::Unreachable;
 };
 
-// Output so far; the first one says that the first token is out.
+// The output so far. The first message reports that the first token has been sent.
 struct OutputProgress {
     RequestId request;
     Tokens output;
 };
 
-// The owner answers with StartDecode while the prefill result is held, else with Placed or Refused.
+// The owner answers with StartDecode while the prefill result is held, otherwise with Placed or Refused.
 struct DecodeFailed {
     RequestId request;
     DecodeFault fault = DecodeFault::Unreachable;
@@ -94,7 +96,7 @@
 
 enum class RequestOutcome {
     Completed,
-    Cancelled, // the caller has gone and the engine has confirmed the cancellation
+    Cancelled, // the caller disconnected and the engine confirmed the cancellation
     Failed,
 };
 
@@ -104,13 +106,13 @@
     Tokens output;
 };
 
-// One request that an entry runs, said again to a new owner or after a reconnect.
+// A request that an entry is running, reported to a new owner and after a reconnect.
 struct Held {
     RequestId request;
     CellId cell;
     ServiceId service;
     WorkspaceId workspace;
-    StreamId stream; // empty while the prompt is read
+    StreamId stream; // empty during prefill
     EngineId decodeEngine;
     Tokens prompt;
     Tokens output;
@@ -121,13 +123,13 @@
     std::vector<Held> requests;
 };
 
-// The configuration in force at the sender: an encoded ConfigRecord, empty where there is none yet.
+// The configuration that the sender uses: an encoded ConfigRecord, or empty if it has none yet.
 struct ConfigInForce {
     std::string record;
-    bool serving = false; // the sender may take new work with it
+    bool serving = false; // the sender may accept new requests under this configuration
 };
 
-// Asks for ConfigInForce.
+// Requests ConfigInForce.
 struct FetchConfig {
 };
 
@@ -138,12 +140,13 @@
     bool leaving = false;
 };
 
-// The live hosts, as the sender sees them.
+// The live hosts in the sender's view of the membership.
 struct LiveHosts {
     std::vector<LiveHost> hosts;
 };
 
-// What an entry needs to choose a cell and to place in it without its owner.
+// The state of a cell that an entry needs to choose the cell, and to place requests in it while its owner is
+// unreachable.
 struct CellUpdate {
     CellId cell;
     HostId owner;
@@ -153,21 +156,21 @@
     double memoryUse = 0;
     Pieces freePieces;
     bool accepting = true;
-    std::uint64_t version = 0; // of the summary; 0: there is none
+    std::uint64_t version = 0; // version of the summary, 0 if there is none
 };
 
 struct AllCells {
     std::vector<CellUpdate> cells;
 };
 
-// An entry asks a scheduler for its news (ConfigInForce, LiveHosts, AllCells: now, on every change, each second), or
-// ends it.
+// An entry subscribes to the updates of a scheduler, or ends its subscription. The scheduler sends ConfigInForce,
+// LiveHosts and AllCells at once, on every change and every second.
 struct Follow {
     bool wanted = true;
 };
 
-// A gateway to the leader: find a decode engine for this generation. `onTime` and `useful`: how much longer a place
-// meets the target, or is of any use.
+// Gateway to the leader: requests a decode engine for a generation. A placement within `onTime` still meets the target
+// of the route, and one after `useful` is too late to be used.
 struct RequestPlacement {
     RequestId request;
     ServiceId service;
@@ -175,22 +178,22 @@
     Tokens prompt;
     Tokens output; // the caller's estimate
     Tokens maxOutput;
-    Duration waited{0}; // since its first ask
+    Duration waited{0}; // since the first request for this generation
     Duration onTime{0};
     Duration useful{0};
     DataCentreId dataCentre;
     EngineId avoid;
-    std::string promptName; // of the prompt's own part; none where empty
+    std::string promptName; // name of the part that is the prompt's own, or empty
 };
 
-// The leader to a gateway: ask this engine for a reservation.
+// Leader to a gateway: the engine at which to request a reservation.
 struct OfferPlacement {
     RequestId request;
     EngineId engine;
-    EngineId prefill; // reads the prompt; none where empty
+    EngineId prefill; // the prefill engine; empty if there is none
 };
 
-// The leader to a gateway: there is no place in time.
+// Leader to a gateway: no engine has room in time.
 struct RejectPlacement {
     RequestId request;
     Duration retryAfter{0};
@@ -198,24 +201,24 @@
 
 enum class PlacementEvent {
     Reserved,
-    Prefilled, // by the prefill engine that the leader named
+    Prefilled, // the prefill engine named by the leader has finished
     PrefillFailed,
-    ResultLost, // the decode engine could not get the result from the prefill engine
+    ResultLost, // the decode engine could not fetch the result from the prefill engine
     Full, // the engine has no room; another RequestPlacement follows
     Fault, // the engine did not answer; another RequestPlacement follows
     Ended,
     EndedByFault,
 };
 
-// A gateway to the leader: what became of a place.
+// Gateway to the leader: a change in the state of a placement.
 struct PlacementReport {
     RequestId request;
     ServiceId service;
     PlacementEvent event = PlacementEvent::Ended;
-    Tokens output; // output, of one that ended
+    Tokens output; // number of output tokens, once the generation has ended
 };
 
-// One generation that runs, said to a new leader.
+// A running generation, reported to a new leader.
 struct HeldPlacement {
     RequestId request;
     ServiceId service;
@@ -230,8 +233,8 @@
     std::vector<HeldPlacement> places;
 };
 
-// A gateway to the leader: hand on what changes in the store after this version. One that is newer than the leader's
-// own is answered when the leader has caught up.
+// Gateway to the leader: subscribes to the changes in the store after this version. If the version is newer than the
+// leader's own, the leader answers when it has caught up.
 struct FollowStore {
     std::uint64_t version = 0;
 };
@@ -239,53 +242,53 @@
 struct RegistryRow {
     std::uint64_t version = 0;
     std::string key;
-    std::string value; // as it was written
+    std::string value; // the bytes as written to the store
     bool isRemoved = false;
 };
 
-// The leader to a gateway: the rows of the registry that changed after one version of the store and up to another.
+// Leader to a gateway: the rows of the registry that changed after version `after` of the store, up to `version`.
 struct RegistryUpdate {
     std::uint64_t after = 0;
     std::uint64_t version = 0;
     std::vector<RegistryRow> rows;
 };
 
-// The leader to a gateway: the configuration's row has this version. Where there is no change with it, or the gateway
-// has another row than the change is based on, the row is read from the store, which has more room on its links than
-// the leader.
+// Leader to a gateway: the row of the configuration has this version. If `change` is empty, or is based on another row
+// than the gateway has, the gateway reads the row from the store, whose links have more spare bandwidth than the
+// leader's.
 struct ConfigUpdate {
     std::uint64_t rowVersion = 0;
-    std::uint64_t after = 0; // the row that the change is based on
+    std::uint64_t after = 0; // version of the row that the change is based on
     std::string change; // encodeRoutingChange(), or empty
 };
 
-// The leader to a gateway: the configuration has changed, and the leader is slow to read it.
+// Leader to a gateway: the configuration has changed, and the leader is late in reading it.
 struct ConfigDelayed {
 };
 
-// The leader to a gateway: this engine is ordered to change its stage and takes no work for so long.
+// Leader to a gateway: the engine has been ordered to change its stage and accepts no work for `duration`.
 struct EngineChanging {
     EngineId engine;
     Duration duration{0};
 };
 
-// The leader to a gateway: it cannot read the store.
+// Leader to a gateway: the leader cannot read the store.
 struct StoreLost {
 };
 
-// The leader to a gateway: it does not lead any more.
+// Leader to a gateway: the sender is no longer the leader.
 struct LeadershipEnded {
 };
 
-// A gateway to the leader, when the link has opened: where others reach it.
+// Gateway to the leader, after the link has opened: the address at which other gateways reach the sender.
 struct FollowerAddress {
-    std::string address; // IP:PORT of its links; empty: it stops and is to be nobody's deputy
+    std::string address; // IP:PORT for links; empty if the sender is stopping and must not become the deputy
 };
 
-// The leader to a gateway: who places while the leader cannot be reached; empty: none.
+// Leader to a gateway: the deputy, which places while the leader is unreachable.
 struct DeputyNamed {
-    std::string address;
-    std::uint64_t hosts = 1; // that the leader places for, with itself
+    std::string address; // empty if there is none
+    std::uint64_t hosts = 1; // number of hosts that the leader places for, including itself
 };
 
 using Message =
--- a/wire/openports.cpp
+++ b/wire/openports.cpp
@@ -9,11 +9,14 @@
 {
     if (keys.arePeersOpen) {
         modes.set("peers_open", true);
-        Log::warning("peers_open", {{"hint", "[keys] fleet is not set: links and probes are taken from anyone"}});
+        Log::warning("peers_open",
+                     {{"hint", "[keys] fleet is not set: links and probes are accepted without authentication"}});
     }
     if (keys.isAdminOpen) {
         modes.set("admin_open", true);
-        Log::warning("admin_open", {{"hint", "[keys] operator is not set: anyone may drain this host"}});
+        Log::warning(
+            "admin_open",
+            {{"hint", "[keys] operator is not set: commands such as drain are accepted without authentication"}});
     }
 }
 
--- a/wire/openports.h
+++ b/wire/openports.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Says in the log and in /status which ports of a process ask nobody for a key.
+// Reports in the log and in /status which ports of a process accept connections without a key.
 //
-//     reportOpenPorts(settings.keys, modes);     // once, at the start
+//     reportOpenPorts(settings.keys, modes);     // once, at startup
 
 #include "declare/keysettings.h"
 #include "wire/degradedmodes.h"
--- a/wire/peernode.cpp
+++ b/wire/peernode.cpp
@@ -18,16 +18,18 @@
 #include <map>
 #include <thread>
 
-// One event loop carries the listening endpoint and the connecting endpoint. Everything below runs on its thread; the
-// public calls post to it. An outgoing link keeps its LinkId over reconnects, so its user never handles connections.
+// One event loop runs the listening endpoint and the connecting endpoint. Everything below runs on its thread, and the
+// public functions post to it. An outgoing link keeps its LinkId over reconnects, so the user never handles
+// connections.
 //
-// Heartbeat: whoever opened a link pings it where for `heartbeat` it has said or heard nothing; the answer is the other
-// end's sign of life, and whatever arrives counts as one. Pings from both ends were twice the bytes and showed no more.
-// A link without one for `silence` is terminated without the closing handshake (its peer would not answer it) and
-// reported closed. An outgoing link is then opened on a new connection, which is what mends a connection that some box
-// between the two ends has forgotten.
+// Heartbeat: the end that opened a link sends a ping if for `heartbeat` it sent nothing or received nothing. Any data
+// received shows that the other end is alive, the pong included. Pings from both ends would double the bytes and detect
+// no more. A link on which nothing was received for `silence` is terminated without the closing handshake, which the
+// peer would not answer, and reported as closed. An outgoing link is then reopened on a new connection, which recovers
+// from a middlebox that dropped its state of the old one.
 //
-// With a key, a connection is reported open only once its LinkGuard has it proven, and every message passes the guard.
+// With a key, a link is reported open only after the handshake of its LinkGuard has succeeded, and every message passes
+// through the guard.
 
 namespace fescuesill
 {
@@ -46,7 +48,7 @@
     bool isOutgoing = false;
     bool isOpen = false;
     Handle handle;
-    Clock::time_point lastHeard;
+    Clock::time_point lastReceived;
     Clock::time_point lastSent;
 };
 
@@ -73,8 +75,8 @@
     {
         endpoint.clear_access_channels(websocketpp::log::alevel::all);
         endpoint.clear_error_channels(websocketpp::log::elevel::all);
-        // Failure: every other message waits up to 40 ms, as Nagle's algorithm holds a small one back until the last is
-        // acknowledged and the other end delays its acknowledgement. It shows as first tokens that are late by that.
+        // Without TCP_NODELAY every other message waits up to 40 ms, which delays first tokens: Nagle's algorithm holds
+        // a small message until the previous one is acknowledged, and the other end delays its acknowledgement.
         endpoint.set_tcp_post_init_handler([&endpoint](const Handle &handle) {
             websocketpp::lib::error_code gone;
             if (const auto connection = endpoint.get_con_from_hdl(handle, gone)) {
@@ -91,10 +93,10 @@
             this->onMessage(handle, message->get_payload());
         });
         endpoint.set_ping_handler([this](const Handle &handle, const std::string &) {
-            this->heard(handle);
+            this->onActivity(handle);
             return true;
         });
-        endpoint.set_pong_handler([this](const Handle &handle, const std::string &) { this->heard(handle); });
+        endpoint.set_pong_handler([this](const Handle &handle, const std::string &) { this->onActivity(handle); });
     }
 
     void listen()
@@ -112,7 +114,7 @@
 
     void run()
     {
-        this->beat();
+        this->checkLinks();
         this->thread = std::thread([this] { this->context.run(); });
     }
 
@@ -148,7 +150,7 @@
             return;
         }
         link->handle = connection->get_handle();
-        link->lastHeard = Clock::now();
+        link->lastReceived = Clock::now();
         this->byHandle[link->handle] = id;
         this->client.connect(connection);
     }
@@ -171,9 +173,10 @@
         this->onOpen(id);
     }
 
-    // Failure: a link is given up while it connects, and its connection opens a moment later. It shows as a connection
-    // of the client's kind under an unknown handle; taken for an accepted one, it would be used through the server,
-    // which casts it to the wrong type. Only a handle that is still wanted is opened.
+    // A link can be disconnected while it connects, and its connection may open shortly afterwards, under a handle that
+    // is no longer known. Treated as an accepted connection it would be used through the server endpoint, which casts
+    // it to the wrong type. So only a handle that still belongs to a link is opened, and any other connection is
+    // closed.
     void onConnected(const Handle &handle)
     {
         const auto found = this->byHandle.find(handle);
@@ -188,7 +191,7 @@
     void onOpen(LinkId id)
     {
         Link &link = this->links[id];
-        link.lastHeard = Clock::now();
+        link.lastReceived = Clock::now();
         if (!this->guard) {
             this->becomeOpen(id);
             return;
@@ -244,17 +247,17 @@
         }
     }
 
-    void heard(const Handle &handle)
+    void onActivity(const Handle &handle)
     {
         const auto found = this->byHandle.find(handle);
         if (found != this->byHandle.end()) {
-            this->links[found->second].lastHeard = Clock::now();
+            this->links[found->second].lastReceived = Clock::now();
         }
     }
 
     void onMessage(const Handle &handle, const std::string &payload)
     {
-        this->heard(handle);
+        this->onActivity(handle);
         const auto found = this->byHandle.find(handle);
         if (found == this->byHandle.end()) {
             return;
@@ -300,7 +303,7 @@
         this->withConnection(link, [bytes](auto &connection) { connection.set_max_message_size(bytes); });
     }
 
-    // Of the opening, so small that the bound on queued bytes does not matter.
+    // Sends a message of the handshake. These are so small that the limit on queued bytes is not checked.
     void transmit(const Link &link, const std::string &bytes)
     {
         if (bytes.empty()) {
@@ -328,7 +331,8 @@
         }
     }
 
-    // Drops the connection at once and reports the link closed. Not the closing handshake: a silent peer never ends it.
+    // Drops the connection at once and reports the link closed. Skips the closing handshake, which a silent peer would
+    // never complete.
     void terminate(LinkId id)
     {
         const Link *link = this->find(id);
@@ -363,21 +367,22 @@
         }
     }
 
-    // Failure: one end only hears, the other only speaks, and the one that only speaks is dropped as silent. So a ping
-    // goes out for either direction.
-    bool isQuiet(const Link &link, Clock::time_point now) const
+    // A link counts as idle if either direction is. Otherwise, on a link that carries messages in one direction only,
+    // the sending end would receive nothing and close the link as silent.
+    bool isIdle(const Link &link, Clock::time_point now) const
     {
-        return now - std::min(link.lastHeard, link.lastSent) >= this->options.heartbeat;
+        return now - std::min(link.lastReceived, link.lastSent) >= this->options.heartbeat;
     }
 
-    void beat()
+    // Runs once per heartbeat.
+    void checkLinks()
     {
         const auto now = Clock::now();
         std::vector<LinkId> silent;
         for (auto &[id, link] : this->links) {
-            if (link.isOpen && now - link.lastHeard > this->options.silence) {
+            if (link.isOpen && now - link.lastReceived > this->options.silence) {
                 silent.push_back(id);
-            } else if (link.isOpen && link.isOutgoing && this->isQuiet(link, now)) {
+            } else if (link.isOpen && link.isOutgoing && this->isIdle(link, now)) {
                 link.lastSent = now;
                 this->withConnection(link, [](auto &connection) {
                     error_code ignored;
@@ -395,7 +400,7 @@
         this->timer.expires_after(this->options.heartbeat);
         this->timer.async_wait([this](const boost::system::error_code &failed) {
             if (!failed) {
-                this->beat();
+                this->checkLinks();
             }
         });
     }
@@ -426,7 +431,8 @@
 tl::expected<std::unique_ptr<PeerNode>, WireError> PeerNode::create(Options options, Handlers handlers)
 {
     const std::string address = options.listen;
-    // The library finds out the byte order on first use, without a lock; here no other thread uses it yet.
+    // The library detects the byte order on first use, without a lock. This call makes it do so before other threads
+    // use it.
     websocketpp::lib::net::_htonll(0);
     auto made = std::make_unique<Impl>(std::move(options), std::move(handlers));
     try {
--- a/wire/peernode.h
+++ b/wire/peernode.h
@@ -1,16 +1,17 @@
 #pragma once
 
-// Websocket links between our processes: a thread that listens, keeps outgoing links open and carries messages.
+// WebSocket links between processes. A node has a thread that accepts links, reconnects outgoing links, and sends and
+// receives messages.
 //
 //     PeerNode::Handlers handlers;
-//     handlers.opened = [&](LinkId link) { ... };                       // all on the node's own thread
+//     handlers.opened = [&](LinkId link) { ... };                       // handlers run on the node's thread
 //     handlers.received = [&](LinkId link, peer::Message message) { ... };
 //     handlers.closed = [&](LinkId link) { ... };
 //     auto node = PeerNode::create({.listen = "127.0.0.1:8081"}, std::move(handlers)).value();
-//     const LinkId owner = node->connect("127.0.0.1:8091");             // stays: reconnects until disconnect(owner)
+//     const LinkId owner = node->connect("127.0.0.1:8091");             // reconnects until disconnect(owner)
 //     node->send(owner, peer::Submit{...});
 //
-// A message sent while a link is down is dropped: opened() tells when to say again what matters.
+// A message sent while a link is down is dropped. After opened() the user resends what the peer needs.
 
 #include "promise/keyring.h"
 #include "wire/linkid.h"
@@ -31,22 +32,24 @@
 {
 public:
     struct Options {
-        std::string listen; // IP:PORT; empty: outgoing links only
-        // An outgoing link is pinged where it was quiet for `heartbeat`.
-        // A link that has been silent for `silence` is dropped and, if outgoing, opened anew. Connections can go silent
-        // for good while new ones work, and TCP alone would wait for many minutes.
+        std::string listen; // IP:PORT; empty for outgoing links only
+        // An outgoing link is pinged if it was idle for `heartbeat` in either direction. A link on which nothing was
+        // received for `silence` is closed and, if outgoing, reopened. A connection can stop working for good while new
+        // ones work, and TCP alone would take many minutes to detect it.
         Duration heartbeat = 1s;
         Duration silence = 4s;
         Duration reconnectPause = 200ms;
-        // A declaration of 600 engines takes some 100 KB; anything far larger is not ours.
+        // A declaration of 600 engines takes about 100 KB. No valid message is far larger.
         std::size_t maxMessageBytes = 8 * 1024 * 1024;
-        // Bytes waiting for a slow peer; past it the link is dropped, so that one slow peer cannot fill our memory.
+        // Limit on the bytes queued for a peer. Beyond it the link is closed, so that a slow peer cannot exhaust the
+        // memory.
         std::size_t maxQueuedBytes = 16 * 1024 * 1024;
-        // 340 entries of one data centre's worth of links fit many times over.
+        // Several times the links of 340 entries in one data centre.
         std::size_t maxLinks = 2048;
-        // With a key both ends of a link prove that they hold it before a message is taken or sent (wire/linkguard.h).
+        // With a key, both ends of a link prove that they hold it before messages are accepted or sent
+        // (wire/linkguard.h).
         std::shared_ptr<const KeyRing> keys = {};
-        HostId host = {}; // the name given in the proof
+        HostId host = {}; // the name sent in the handshake
     };
 
     struct Handlers {
@@ -60,20 +63,20 @@
     PeerNode(const PeerNode &) = delete;
     PeerNode &operator=(const PeerNode &) = delete;
 
-    // Starts the thread; handlers are called from now on.
+    // Starts the thread, which calls the handlers.
     void start();
-    // Ends the thread; no handler is called after it.
+    // Stops the thread. No handler is called after stop() returns.
     void stop();
 
-    // All safe on any thread.
+    // The functions below are thread-safe.
     LinkId connect(const std::string &address);
     void disconnect(LinkId link);
     void send(LinkId link, const peer::Message &message);
-    // Links refused for want of a proof, since the start and within the last half minute.
+    // The number of links that failed the handshake since the start, and whether one did within the last half minute.
     std::uint64_t refusedLinks() const;
     bool hasRefusedLately() const;
 
-    // The node's own event loop, for timers and sockets of the same duty.
+    // The event loop of the node, for timers and sockets of the same component.
     boost::asio::io_context &context();
 
 private:
--- a/wire/probecodec.cpp
+++ b/wire/probecodec.cpp
@@ -2,7 +2,8 @@
 
 #include <nlohmann/json.hpp>
 
-// A CBOR array of fixed order. It must stay well inside one unfragmented datagram, so there are no field names.
+// A probe is a CBOR array with its fields in a fixed order. It has no field names, because it must fit into one
+// unfragmented datagram with room to spare.
 
 namespace fescuesill
 {
@@ -52,18 +53,18 @@
 std::uint64_t unsignedOf(const Json &item)
 {
     if (!item.is_number_unsigned()) {
-        throw WireError("an unsigned number was expected");
+        throw WireError("expected an unsigned number");
     }
     return item.get<std::uint64_t>();
 }
 
-// No age that matters comes near this; a larger one would overflow the duration.
-constexpr std::uint64_t mostAgeMs = 1'000'000'000;
+// Far above any age that occurs. The bound keeps the conversion to a duration from overflowing.
+constexpr std::uint64_t maxAgeMs = 1'000'000'000;
 
 Duration ageOf(const Json &item)
 {
     const std::uint64_t age = unsignedOf(item);
-    if (age > mostAgeMs) {
+    if (age > maxAgeMs) {
         throw WireError("an age is out of range");
     }
     return std::chrono::milliseconds(age);
@@ -77,7 +78,7 @@
 const Json &arrayOf(const Json &item, std::size_t size)
 {
     if (!item.is_array() || item.size() != size) {
-        throw WireError("an array of another size was expected");
+        throw WireError("an array has the wrong size");
     }
     return item;
 }
@@ -110,7 +111,7 @@
 {
     arrayOf(item, FactFieldCount);
     if (!item[BytesField].is_binary()) {
-        throw WireError("bytes were expected");
+        throw WireError("expected a byte string");
     }
     const auto &bytes = item[BytesField].get_binary();
     return Fact{textOf(item[NameField]), unsignedOf(item[VersionField]), std::string(bytes.begin(), bytes.end()),
--- a/wire/probecodec.h
+++ b/wire/probecodec.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Probes between schedulers as datagrams.
+// Encodes and decodes the probes that schedulers send each other as datagrams.
 //
 //     const std::string bytes = encodeProbe(message);
-//     const auto message = decodeProbe(bytes);          // WireError for anything that is not a probe
+//     const auto message = decodeProbe(bytes);          // WireError if the bytes are not a probe
 
 #include "promise/membership.h"
 #include "wire/wireerror.h"
--- a/wire/probesocket.cpp
+++ b/wire/probesocket.cpp
@@ -11,11 +11,12 @@
 
 #include <array>
 
-// One datagram is one message. A send that the kernel will not take at once is a lost probe: waiting for room would
-// only delay the news. Datagrams larger than a link's frame would be fragmented, and one lost fragment loses all, so
-// membership bounds what rides on a probe far below datagramLimit.
+// Each datagram carries one message. If the kernel cannot send a datagram at once, the probe counts as lost: waiting
+// for buffer space would only make its content older. A datagram larger than the MTU would be fragmented, and losing
+// one fragment would lose all of it. So the membership keeps the data in a probe far below maxDatagramBytes.
 //
-// A datagram that the seal refuses costs one code over its bytes at most and is counted; its text is not parsed.
+// A datagram that the seal refuses is counted and not parsed. It costs at most one computation of an authentication
+// code over its bytes.
 
 namespace fescuesill
 {
@@ -25,7 +26,7 @@
 namespace asio = boost::asio;
 using udp = asio::ip::udp;
 
-constexpr std::size_t datagramLimit = 1400;
+constexpr std::size_t maxDatagramBytes = 1400;
 
 } // namespace
 
@@ -100,7 +101,7 @@
         const auto address = Address::parse(text);
         const std::string plain = encodeProbe(message);
         const std::string bytes = this->seal ? this->seal->seal(plain, sharedNow()) : plain;
-        if (!address || bytes.size() > datagramLimit) {
+        if (!address || bytes.size() > maxDatagramBytes) {
             Log::warning("probe_not_sent", {{"address", text}, {"bytes", static_cast<std::uint64_t>(bytes.size())}});
             return;
         }
@@ -116,7 +117,7 @@
     Handler handler;
     std::optional<DatagramSeal> seal;
     RefusalLog refusals{"probe_refused"};
-    std::array<char, 2 * datagramLimit> buffer{};
+    std::array<char, 2 * maxDatagramBytes> buffer{};
     ProbeTraffic traffic;
 };
 
--- a/wire/probesocket.h
+++ b/wire/probesocket.h
@@ -1,13 +1,14 @@
 #pragma once
 
-// The UDP port over which schedulers probe each other.
+// The UDP socket over which schedulers probe each other.
 //
 //     auto socket = ProbeSocket::create(io, "127.0.0.1:8081", [&](const ProbeMessage &probe) { ... }).value();
 //     socket->send("127.0.0.1:8091", probe);       // may be lost, like any datagram
 //
-// With a seal (promise/datagramseal.h) only probes that are signed with the fleet's key are handed on, each once.
+// With a seal (promise/datagramseal.h) the handler receives only probes signed with the fleet's key, and each only
+// once.
 //
-// Used from the thread of its io_context only.
+// Not thread-safe: used from the thread of its io_context only.
 
 #include "promise/datagramseal.h"
 #include "promise/membership.h"
--- a/wire/refusaljson.h
+++ b/wire/refusaljson.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The JSON body of a refusal, as docs/ARCHITECTURE.md gives it.
+// The JSON body of a refusal, as specified in docs/ARCHITECTURE.md.
 //
 //     refusalJson({RefusalCode::TooLarge, RunState::NotRun, "body over 4 MiB"}, RequestId("a-7"));
 //     // {"error":{"code":"too_large","message":"body over 4 MiB","run":"not_run","request_id":"a-7"}}
@@ -12,7 +12,7 @@
 {
 
 std::string refusalJson(const Refusal &refusal, const RequestId &request);
-// Whole seconds, rounded up, at least one: what the Retry-After header can say.
+// The value of a Retry-After header: whole seconds, rounded up, at least 1.
 std::string retryAfterSeconds(Duration wait);
 
 } // namespace fescuesill
--- a/wire/refusallog.cpp
+++ b/wire/refusallog.cpp
@@ -2,18 +2,19 @@
 
 #include "wire/log.h"
 
-// Failure: a host with the wrong key, or an attacker, tries again several times a second. It shows as logs that are
-// full of one line and hide the others. So a name and cause is told once, and then at most each half minute with the
-// number of times in between. A table full of made-up names starts over: an attacker gets lines, but no memory.
+// A host with the wrong key, or an attacker, can retry several times a second and fill the log with one repeated line.
+// So each pair of name and cause is logged at once, and after that at most every half minute, with the number of
+// refusals in between. When the table is full, for example of forged names, it is cleared: an attacker can cause log
+// lines but cannot make the memory grow.
 
 namespace fescuesill
 {
 namespace
 {
 
-constexpr Duration pause = 30s;
-// Several times what a fleet of 340 hosts shows while all have the wrong key.
-constexpr std::size_t mostLines = 1024;
+constexpr Duration logInterval = 30s;
+// Several times the number of pairs of a fleet of 340 hosts that all have the wrong key.
+constexpr std::size_t maxLines = 1024;
 
 } // namespace
 
@@ -24,13 +25,13 @@
 
 void RefusalLog::note(const std::string &name, std::string_view cause, Instant now)
 {
-    if (this->lines.size() >= mostLines) {
+    if (this->lines.size() >= maxLines) {
         this->lines.clear();
     }
     const auto [found, isNew] = this->lines.try_emplace({name, std::string(cause)});
     Line &line = found->second;
     ++line.times;
-    if (!isNew && now - line.told < pause) {
+    if (!isNew && now - line.loggedAt < logInterval) {
         return;
     }
     Log::warning(this->event, {{"from", name}, {"cause", cause}, {"times", line.times}});
--- a/wire/refusallog.h
+++ b/wire/refusallog.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// Logs who was refused and why, at most one line each half minute for each name and cause.
+// Logs refused peers and the causes, rate-limited to one line per name and cause in half a minute.
 //
 //     RefusalLog refusals("probe_refused");
 //     refusals.note("10.30.2.2", "unknown_key", steadyNow());
 //     // level=warning event=probe_refused from=10.30.2.2 cause=unknown_key times=1
 //
-// Used from one thread. The names come from whoever sends, so their number is bounded.
+// Not thread-safe. The names come from unauthenticated senders, so the number of names kept is bounded.
 
 #include "fescuesill/units.h"
 
@@ -26,8 +26,8 @@
 
 private:
     struct Line {
-        Instant told;
-        std::uint64_t times = 0; // since it was told
+        Instant loggedAt;
+        std::uint64_t times = 0; // since loggedAt
     };
 
     std::string event;
--- a/wire/ring.h
+++ b/wire/ring.h
@@ -1,15 +1,15 @@
 #pragma once
 
-// The bounded queue that joins two duties of a process.
+// A bounded queue between the threads of two components of a process.
 //
 //     Ring<Order> ring(1024, [&] { asio::post(context, [&] { drain(ring); }); });
 //     if (!ring.tryPush(std::move(order))) {
-//         refuse("decision queue full");      // never waits
+//         refuse("decision queue full");      // tryPush never blocks
 //     }
 //     while (auto order = ring.tryPop()) { ... }
 //
-// Any number of threads push, one thread pops. The wake function runs on the pushing thread, once for each change from
-// empty to not empty, so a burst costs one wake.
+// Multiple producers, a single consumer. The wake function runs on the producer's thread, once for each change from
+// empty to not empty, so a burst of items causes one wake-up.
 
 #include <boost/circular_buffer.hpp>
 
@@ -32,7 +32,7 @@
     {
     }
 
-    // False when the ring is full; the item is untouched then, so the caller can still answer for it.
+    // Returns false if the ring is full. The item is then unchanged, so the caller can still reply to its sender.
     bool tryPush(T &&item)
     {
         bool wasEmpty = false;
--- a/wire/routingchangecodec.cpp
+++ b/wire/routingchangecodec.cpp
@@ -1,10 +1,11 @@
-// CBOR arrays of fixed order, deflated: names of hosts and services repeat from route to route.
+// A change is encoded as CBOR arrays with their fields in a fixed order, and compressed with zlib, because the names of
+// hosts and services repeat from route to route.
 
 #include "wire/routingchangecodec.h"
 
 #include <nlohmann/json.hpp>
 
-#define ZLIB_CONST // inflate() takes bytes that it does not change
+#define ZLIB_CONST // declares the input of inflate() as const
 #include <zlib.h>
 
 namespace fescuesill
@@ -14,9 +15,9 @@
 
 using Json = nlohmann::json;
 
-// Inflated. The largest configuration is a few megabytes; a change that is sent is far below it.
-constexpr std::size_t mostInflated = 8 << 20;
-constexpr std::size_t inflateStep = 64 << 10;
+// Limit on the decompressed size. The largest configuration takes a few megabytes, and a change far less.
+constexpr std::size_t maxInflatedBytes = 8 << 20;
+constexpr std::size_t inflateStepBytes = 64 << 10;
 
 std::string deflated(const std::string &bytes)
 {
@@ -25,7 +26,7 @@
     const int result = compress(reinterpret_cast<Bytef *>(out.data()), &size,
                                 reinterpret_cast<const Bytef *>(bytes.data()), static_cast<uLong>(bytes.size()));
     if (result != Z_OK) {
-        throw WireError("a change could not be compressed");
+        throw WireError("cannot compress a change");
     }
     out.resize(size);
     return out;
@@ -35,23 +36,23 @@
 {
     z_stream stream{};
     if (inflateInit(&stream) != Z_OK) {
-        throw WireError("a change could not be inflated");
+        throw WireError("cannot initialise the decompression of a change");
     }
     const std::unique_ptr<z_stream, int (*)(z_stream *)> ended(&stream, inflateEnd);
     stream.next_in = reinterpret_cast<const Bytef *>(bytes.data());
     stream.avail_in = static_cast<uInt>(bytes.size());
     std::string out;
     int result = Z_OK;
-    while (result == Z_OK && out.size() <= mostInflated) {
+    while (result == Z_OK && out.size() <= maxInflatedBytes) {
         const std::size_t had = out.size();
-        out.resize(had + inflateStep);
+        out.resize(had + inflateStepBytes);
         stream.next_out = reinterpret_cast<Bytef *>(out.data() + had);
-        stream.avail_out = static_cast<uInt>(inflateStep);
+        stream.avail_out = static_cast<uInt>(inflateStepBytes);
         result = inflate(&stream, Z_NO_FLUSH);
         out.resize(out.size() - stream.avail_out);
     }
     if (result != Z_STREAM_END) {
-        throw WireError("a change does not inflate, or to too much");
+        throw WireError("a change cannot be decompressed or is too large");
     }
     return out;
 }
@@ -75,7 +76,7 @@
     route.prefix = json.at(2).get<std::string>();
     const int kind = json.at(3).get<int>();
     if (kind < 0 || kind > static_cast<int>(CallKind::Generation)) {
-        throw WireError("no such kind of call");
+        throw WireError("unknown kind of call");
     }
     route.kind = static_cast<CallKind>(kind);
     route.isResumable = json.at(4).get<bool>();
--- a/wire/routingchangecodec.h
+++ b/wire/routingchangecodec.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// A change of the routing configuration as bytes, for messages between our processes.
+// Encodes a change of the routing configuration for messages between processes.
 //
 //     const std::string bytes = encodeRoutingChange(changeBetween(earlier, later));
-//     const auto change = decodeRoutingChange(bytes);          // WireError for anything that is not a change
+//     const auto change = decodeRoutingChange(bytes);          // WireError if the bytes are not a change
 
 #include "decide/routingchange.h"
 #include "wire/wireerror.h"
--- a/wire/testing/keys_test.cpp
+++ b/wire/testing/keys_test.cpp
@@ -37,7 +37,7 @@
     return std::make_shared<const KeyRing>(KeyRing::parse(text).value());
 }
 
-// A node that counts what reaches its user.
+// A node that counts the calls of its handlers.
 struct Node {
     Node(const std::string &listen, std::shared_ptr<const KeyRing> keys)
     {
@@ -65,16 +65,17 @@
     std::atomic<int> opened{0};
     std::atomic<int> received{0};
     std::atomic<int> closed{0};
-    std::unique_ptr<PeerNode> node; // ends before the counts that its thread raises
+    std::unique_ptr<PeerNode> node; // declared last, so it is destroyed before the counters that its thread uses
 };
 
 const std::string upgrade = "GET / HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
                             "Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\nSec-WebSocket-Version: 13\r\n\r\n";
 const peer::Message hello = peer::Hello{HostId("a"), DataCentreId("d"), true};
 
-// Somebody on the inner network without the fleet's key dials a scheduler, and a scheduler that was set up with another
-// key dials it too. Neither gets a message in, the scheduler's user never hears of them, and real links go on.
-TEST(Keys, APeerWithoutTheKeyGetsNothingIn)
+// A client on the internal network without the fleet's key connects to a scheduler, and so does a host configured with
+// another key. The scheduler must accept no message from either and report neither link as open, and links with the
+// right key must keep working.
+TEST(Keys, APeerWithoutTheKeyCannotDeliverMessages)
 {
     const std::string address = freeAddress();
     Node scheduler(address, ringOf("a"));
@@ -99,8 +100,9 @@
     EXPECT_TRUE(eventually([&] { return scheduler.received == 1; }));
 }
 
-// The places for links that have proved nothing go to the newest: an honest host is through in milliseconds.
-TEST(Keys, TheOldestUnprovenLinkGivesWay)
+// When there are too many unauthenticated links, the oldest is evicted: a legitimate host authenticates within
+// milliseconds, so the oldest link is not one of its links.
+TEST(Keys, TheOldestUnprovenLinkIsEvicted)
 {
     LinkGuard::Options options;
     options.maxUnproven = 2;
@@ -122,16 +124,17 @@
     EXPECT_EQ(guard.refused(), 3U);
 }
 
-// Strangers open connections to a scheduler and say nothing, more than may stand unproven. A host with the key gets its
-// link all the same, and each stranger is closed in the end: without that they would hold places and memory for good.
-TEST(Keys, SilentStrangersDoNotKeepAHostOut)
+// Clients without the key open more connections than may be unauthenticated and send nothing. A host with the key must
+// still get its link, and every other connection must be closed in the end, or they would hold slots and memory for
+// good.
+TEST(Keys, SilentConnectionsDoNotKeepAHostOut)
 {
-    constexpr int strangers = 300;
+    constexpr int connections = 300;
     const std::string address = freeAddress();
     Node scheduler(address, ringOf("a"));
     asio::io_context context;
     std::vector<std::unique_ptr<tcp::socket>> sockets;
-    for (int i = 0; i < strangers; ++i) {
+    for (int i = 0; i < connections; ++i) {
         sockets.push_back(std::make_unique<tcp::socket>(context));
         sockets.back()->connect(endpointOf(address));
         asio::write(*sockets.back(), asio::buffer(upgrade));
@@ -150,16 +153,17 @@
     EXPECT_EQ(scheduler.closed, 0);
 }
 
-// A stranger announces a message of a megabyte as its first. The connection ends at once, by the bound on messages of
-// the opening; without it the node would collect the bytes of each stranger until the time for the proof is over.
-TEST(Keys, AStrangerCannotMakeTheNodeCollectBytes)
+// A client without the key announces a first message of one megabyte. The limit on the size of handshake messages must
+// close the connection at once. Without it the node would buffer the bytes of each such client until the handshake
+// times out.
+TEST(Keys, AnUnprovenPeerCannotMakeTheNodeBufferBytes)
 {
     const std::string address = freeAddress();
     const Node scheduler(address, ringOf("a"));
     asio::io_context context;
     tcp::socket socket(context);
     socket.connect(endpointOf(address));
-    // A masked binary frame of 2^20 bytes, and the first of them.
+    // The header of a masked binary frame of 2^20 bytes, and the first 700 bytes of its payload.
     const std::string frame = upgrade + std::string("\x82\xff\0\0\0\0\0\x10\0\0\0\0\0\0", 14);
     asio::write(socket, asio::buffer(frame + std::string(700, 'x')));
     boost::system::error_code failed;
@@ -167,12 +171,12 @@
     while (!failed) {
         socket.read_some(asio::buffer(answer), failed);
     }
-    EXPECT_EQ(scheduler.node->refusedLinks(), 0U); // ended before the bound of time
+    EXPECT_EQ(scheduler.node->refusedLinks(), 0U); // closed before the handshake timed out
     EXPECT_EQ(scheduler.opened, 0);
 }
 
-// The key is rotated by restarts, one end of a link after the other, in three rounds. After each restart the link has
-// to come back by itself; a step that the other end does not accept would leave a host without its scheduler.
+// The key is rotated by restarting one end of a link after the other, in three rounds. After each restart the link must
+// reopen by itself. If one end rejected the keys of the other in any step, a host would lose its scheduler.
 TEST(Keys, ARotationOneHostAtATimeKeepsTheLink)
 {
     const std::string address = freeAddress();
@@ -193,9 +197,9 @@
     }
 }
 
-// One forged datagram names version 9e18 of the declaration, and the fleet waits for it for ever. Only what is signed
-// with the fleet's key is handed on, and that once.
-TEST(Keys, OnlySignedProbesAreTakenAndEachOnce)
+// A single forged datagram that names version 9e18 of the declaration would make the fleet wait for that version for
+// ever. Only probes signed with the fleet's key may reach the handler, and each only once.
+TEST(Keys, OnlySignedProbesAreAcceptedAndEachOnce)
 {
     const std::string address = freeAddress();
     asio::io_context context;
@@ -234,8 +238,9 @@
     unsigned status;
 };
 
-// Whoever reaches an admin port could stop the host. With an operators' key reads stay open and commands need a proof.
-TEST(Keys, AnAdminPortTakesCommandsOfOperatorsOnly)
+// Without a key, any client that reaches an admin port could stop the host. With an operator key, commands need a
+// proof, and reads stay open.
+TEST(Keys, AnAdminPortAcceptsCommandsFromOperatorsOnly)
 {
     int drained = 0;
     const auto keys = ringOf("d");
@@ -291,9 +296,9 @@
     unsigned status;
 };
 
-// Somebody on the way to an admin port keeps an operator's proof and puts another declaration behind it. It must not
-// come into force, and a stranger's text must not even be read.
-TEST(Keys, AnAdminPortTakesOnlyTheRecordThatTheProofIsFor)
+// An attacker on the path to an admin port keeps an operator's proof and replaces the declaration sent with it. The
+// replaced declaration must not take effect, and a body without a valid proof must not even be read.
+TEST(Keys, AnAdminPortAcceptsOnlyTheRecordThatTheProofCovers)
 {
     std::vector<std::string> taken;
     const auto keys = ringOf("d");
@@ -335,7 +340,7 @@
         http::response<http::string_body> response;
         boost::system::error_code cut;
         http::read(stream, buffer, response, cut);
-        // A connection that is closed with bytes unread may be reset before the refusal is read.
+        // The server closes the connection with bytes unread, so it may be reset before the refusal is read.
         const bool mayBeCut = c.status == 401;
         EXPECT_TRUE(response.result_int() == c.status || (mayBeCut && cut)) << c.name;
     }
--- a/wire/testing/linkopening_benchmark.cpp
+++ b/wire/testing/linkopening_benchmark.cpp
@@ -1,4 +1,4 @@
-// The time to open a link on loopback, one after the other, without and with a key.
+// Measures the time to open a link on the loopback interface, without and with a key. Links are opened one at a time.
 //
 //     cmake --build build --target fescuesill_wire
 //     g++ -std=c++17 -O2 -DFMT_HEADER_ONLY -DBOOST_BIND_GLOBAL_PLACEHOLDERS -Iinclude -I. \
--- a/wire/testing/log_test.cpp
+++ b/wire/testing/log_test.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-// Standard output is a pipe that nobody reads until the end.
+// Redirects standard output into a pipe that is not read before drain().
 class UnreadOutput
 {
 public:
@@ -31,7 +31,7 @@
     UnreadOutput(const UnreadOutput &) = delete;
     UnreadOutput &operator=(const UnreadOutput &) = delete;
 
-    // Reads all that was and will be written until the log is closed.
+    // Closes the log and returns everything that was written to the pipe.
     std::string drain()
     {
         std::string all;
@@ -54,9 +54,9 @@
     int saved = -1;
 };
 
-// Whoever collects the logs hangs. A host that waited for it would stop serving; it must go on, keep the newest lines,
-// and say how many it left out.
-TEST(Log, WaitsForNobodyAndSaysWhatItLeftOut)
+// The reader of the log output hangs. Logging must not block, or the host would stop serving. It keeps the newest lines
+// and reports how many it dropped.
+TEST(Log, NeverBlocksAndReportsDroppedLines)
 {
     UnreadOutput output;
     Log::open("test", LogLevel::Info, "host-1");
@@ -66,7 +66,7 @@
     }
     const auto took = std::chrono::steady_clock::now() - begin;
     const std::string all = output.drain();
-    EXPECT_LT(took, std::chrono::seconds(20)); // a line that waited would wait for ever
+    EXPECT_LT(took, std::chrono::seconds(20)); // a blocking call would never return
     EXPECT_NE(all.find("line=19999\n"), std::string::npos);
     EXPECT_NE(all.find("event=log_lines_left_out count="), std::string::npos);
     EXPECT_NE(all.find(" process=test host=host-1 event=noise"), std::string::npos);
--- a/wire/testing/loopback.h
+++ b/wire/testing/loopback.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// For tests on real sockets: an address of this machine, and waiting for what other threads do.
+// Helpers for tests on real sockets: endpoints on the loopback interface, and waiting for conditions that other threads
+// make true.
 //
 //     const std::string address = freeAddress();
 //     ASSERT_TRUE(eventually([&] { return server.count() == 1; }));
@@ -25,7 +26,7 @@
 
 inline bool eventually(const std::function<bool()> &condition)
 {
-    // Long enough for a slow machine under a sanitizer; a test that passes never waits for it.
+    // Long enough for a slow machine under a sanitizer. A test that passes never waits that long.
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(60);
     while (std::chrono::steady_clock::now() < end) {
         if (condition()) {
--- a/wire/testing/messages_placing_test.cpp
+++ b/wire/testing/messages_placing_test.cpp
@@ -15,7 +15,7 @@
     return std::get<Struct>(*read);
 }
 
-TEST(PlacingMessages, ArriveAsTheyWereSent)
+TEST(PlacingMessages, AreEncodedAndDecodedUnchanged)
 {
     const RequestPlacement ask =
         passedOn(RequestPlacement{RequestId("r"), ServiceId("s"), 2, Tokens(5200), Tokens(3500), Tokens(6500), 40ms,
@@ -48,8 +48,8 @@
     EXPECT_EQ(passedOn(DeputyNamed{"10.0.0.2:1", 9}).hosts, 9U);
 }
 
-// A row of another writer may hold any bytes; they go through as they are.
-TEST(PlacingMessages, CarryAnyBytesOfARow)
+// A row from another writer may contain any bytes. They must arrive unchanged.
+TEST(PlacingMessages, CarryArbitraryBytesInARow)
 {
     const std::string bytes("\xff\x00\x80{", 4);
     const RegistryUpdate news = passedOn(RegistryUpdate{4, 9, {{5, "k", bytes, false}, {9, "gone", "", true}}});
--- a/wire/testing/messages_test.cpp
+++ b/wire/testing/messages_test.cpp
@@ -34,18 +34,18 @@
     };
 }
 
-TEST(Messages, EveryKindSurvivesTheWire)
+TEST(Messages, EveryKindIsEncodedAndDecodedUnchanged)
 {
     for (const Message &message : oneOfEach()) {
         const std::string bytes = encodeMessage(message);
-        const auto back = decodeMessage(bytes);
-        ASSERT_TRUE(back) << message.index() << ": " << back.error().what();
-        EXPECT_EQ(back->index(), message.index());
-        EXPECT_EQ(encodeMessage(*back), bytes) << message.index();
+        const auto decoded = decodeMessage(bytes);
+        ASSERT_TRUE(decoded) << message.index() << ": " << decoded.error().what();
+        EXPECT_EQ(decoded->index(), message.index());
+        EXPECT_EQ(encodeMessage(*decoded), bytes) << message.index();
     }
 }
 
-TEST(Messages, AMessageCutShortIsRefused)
+TEST(Messages, ATruncatedMessageIsRejected)
 {
     for (const Message &message : oneOfEach()) {
         const std::string bytes = encodeMessage(message);
@@ -55,7 +55,7 @@
     }
 }
 
-RC_GTEST_PROP(Messages, NonsenseIsRefusedWithoutACrash, (const std::string &bytes))
+RC_GTEST_PROP(Messages, ArbitraryBytesNeverCrash, (const std::string &bytes))
 {
     const auto message = decodeMessage(bytes);
     if (message) {
@@ -63,7 +63,7 @@
     }
 }
 
-RC_GTEST_PROP(Messages, AFlippedByteNeverCrashes, (std::uint8_t kind, std::uint8_t position, std::uint8_t value))
+RC_GTEST_PROP(Messages, AChangedByteNeverCrashes, (std::uint8_t kind, std::uint8_t position, std::uint8_t value))
 {
     const auto all = oneOfEach();
     std::string bytes = encodeMessage(all[kind % all.size()]);
--- a/wire/testing/peernode_test.cpp
+++ b/wire/testing/peernode_test.cpp
@@ -22,7 +22,7 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-// What one node saw, to be waited for.
+// The events of a node, as promises that a test can wait for.
 struct Seen {
     std::promise<LinkId> opened;
     std::promise<peer::Message> received;
@@ -64,7 +64,7 @@
     return options;
 }
 
-TEST(PeerNode, CarriesAMessageAndItsAnswer)
+TEST(PeerNode, DeliversMessagesInBothDirections)
 {
     const std::string address = freeAddress();
     Seen serverSeen;
@@ -81,9 +81,9 @@
     EXPECT_TRUE(std::holds_alternative<peer::FetchConfig>(clientSeen.received.get_future().get()));
 }
 
-// A peer restarts: its side of the link is gone. The caller of connect() does nothing; the link opens again by itself,
-// because an outgoing link keeps its id over reconnects.
-TEST(PeerNode, AnOutgoingLinkComesBackAfterThePeerRestarts)
+// A peer restarts and its end of the link is lost. The link must reopen under the same id without another call of
+// connect().
+TEST(PeerNode, AnOutgoingLinkReconnectsAfterThePeerRestarts)
 {
     const std::string address = freeAddress();
     Seen firstSeen;
@@ -102,9 +102,9 @@
     secondSeen.opened.get_future().get();
 }
 
-// A peer takes the connection, completes nothing and stays silent, as when a box in between has forgotten the
-// connection. A link to such a peer must not count as open, and other links must go on working.
-TEST(PeerNode, ASilentPeerDoesNotHoldUpOthers)
+// A peer accepts the TCP connection but never answers the handshake, as when a middlebox has dropped the state of the
+// connection. The link must not count as open, and other links must keep working.
+TEST(PeerNode, ASilentPeerDoesNotBlockOtherLinks)
 {
     asio::io_context context;
     tcp::acceptor silent(context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
@@ -120,10 +120,10 @@
     EXPECT_EQ(clientSeen.opened.get_future().get(), link);
 }
 
-// A link is given up while it is still connecting, as a fetch is that took too long. Its connection may open all the
-// same a moment later; taken for an incoming one it would be handled as the wrong kind of connection, which overwrites
-// memory. So it must never be reported as open under another id.
-TEST(PeerNode, ALinkGivenUpWhileConnectingNeverOpens)
+// A link is disconnected while it is still connecting, for example after a fetch timed out. Its connection may open
+// shortly afterwards. Treated as an incoming connection it would be cast to the wrong type, which corrupts memory. It
+// must never be reported as open under another id.
+TEST(PeerNode, ALinkDisconnectedWhileConnectingNeverOpens)
 {
     constexpr int tries = 50;
     const std::string address = freeAddress();
@@ -164,9 +164,9 @@
     }
 }
 
-// The end that opened a link only hears, the other only speaks, as an owner that tells its news to an entry with
-// nothing to ask. Who opened it must still ping, or the other end takes it for silent and drops it.
-TEST(PeerNode, AnEndThatOnlyHearsIsNotTakenForSilent)
+// The end that opened a link only receives and the other end only sends, as when an owner sends updates to an entry
+// that has no requests. The opening end must still send pings, or the other end closes the link as silent.
+TEST(PeerNode, AnEndThatOnlyReceivesIsNotClosedAsSilent)
 {
     const std::string address = freeAddress();
     Seen serverSeen;
@@ -189,9 +189,9 @@
     EXPECT_EQ(closed.wait_for(std::chrono::seconds(0)), std::future_status::timeout);
 }
 
-// Something that is not one of our processes connects to the internal port and talks nonsense, then a real peer comes:
-// the node drops the one and serves the other.
-TEST(PeerNode, NonsenseOnThePortIsDropped)
+// A foreign process connects to the internal port and sends malformed data, and then a real peer connects. The node
+// must close the first connection and serve the second.
+TEST(PeerNode, AConnectionWithMalformedDataIsClosed)
 {
     const std::string address = freeAddress();
     Seen serverSeen;
--- a/wire/testing/routingchangecodec_test.cpp
+++ b/wire/testing/routingchangecodec_test.cpp
@@ -37,7 +37,7 @@
     return change;
 }
 
-TEST(RoutingChangeCodec, ArrivesAsItWasSent)
+TEST(RoutingChangeCodec, DecodingRestoresTheChange)
 {
     const RoutingChange sent = sampleChange(2);
     const auto read = decodeRoutingChange(encodeRoutingChange(sent));
@@ -56,13 +56,13 @@
     EXPECT_TRUE(read->set[1] == sent.set[1]);
 }
 
-TEST(RoutingChangeCodec, TakesSomeTensOfBytesForEachRoute)
+TEST(RoutingChangeCodec, ARouteTakesLessThan50Bytes)
 {
     EXPECT_LT(encodeRoutingChange(sampleChange(40)).size(), 40U * 50);
 }
 
-// Guards against bytes of a broken or foreign peer that end the process.
-RC_GTEST_PROP(RoutingChangeCodec, RefusesWhatIsNoChange, (const std::string &bytes))
+// Malformed bytes from a faulty or foreign peer must not crash the process.
+RC_GTEST_PROP(RoutingChangeCodec, MalformedBytesAreRejected, (const std::string &bytes))
 {
     RC_ASSERT(!decodeRoutingChange(bytes));
     std::string broken = encodeRoutingChange(sampleChange(3));
--- a/wire/wireerror.h
+++ b/wire/wireerror.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Faults of the layer that does I/O.
+// Errors of the I/O layer.
 
 #include <stdexcept>
 #include <string>
@@ -8,7 +8,7 @@
 namespace fescuesill
 {
 
-// A port that cannot be opened, an address that cannot be read, a peer that spoke nonsense.
+// A port that cannot be opened, an address that cannot be parsed, or a malformed message from a peer.
 class WireError : public std::runtime_error
 {
 public:
