--- a/programs/gateway/leaderlink.cpp
+++ b/programs/gateway/leaderlink.cpp
@@ -108,7 +108,7 @@
     }
     this->takePath(this->route.path(now));
     const bool wasStandingIn = this->isStandingIn;
-    this->isStandingIn = this->route.isStandingIn();
+    this->isStandingIn = this->route.isActingLeader();
     const bool placesForAll = this->isLeading || this->isStandingIn || this->path != PlacingPath::Alone;
     this->gates.setShare(placesForAll ? 1 : 1.0 / static_cast<double>(this->hosts));
     if (this->isStandingIn != wasStandingIn) {
--- a/programs/gateway/storeduty.cpp
+++ b/programs/gateway/storeduty.cpp
@@ -43,8 +43,8 @@
     Leadership::Options options;
     options.lease = lease;
     options.renew = lease / 3;
-    options.look = lease / 6;
-    options.firstLook = lease / 50;
+    options.pollInterval = lease / 6;
+    options.firstPollDelay = lease / 50;
     options.margin = lease / 15;
     return options;
 }
--- a/programs/scheduler/engineorders.cpp
+++ b/programs/scheduler/engineorders.cpp
@@ -48,7 +48,7 @@
     if (const auto *stale = std::get_if<StaleFencing>(&failed.fault())) {
         return order_event::Stale{stale->seen};
     }
-    return order_event::NotTaken{};
+    return order_event::NotAccepted{};
 }
 
 OrderEvent writeFailure(const PlatformError &failed)
@@ -128,11 +128,11 @@
     // Failure: this process was paused between the decision and here, and another host has the lease by now. It shows
     // as two hosts that order one engine about in turn. An engine that ignores fencing numbers would obey.
     if (sharedNow() >= send.sendBy) {
-        return order_event::NotTaken{};
+        return order_event::NotAccepted{};
     }
     try {
         this->engines.order(order.engine.address, send.fencing, OrderKind::Role, roleName(order.pool), yield);
-        return order_event::Taken{};
+        return order_event::Accepted{};
     } catch (const EngineError &failed) {
         return sendFailure(failed);
     }
@@ -154,7 +154,7 @@
     asio::steady_timer timer(this->context, wait.duration);
     boost::system::error_code ignored;
     timer.async_wait(yield[ignored]);
-    return order_event::Woken{};
+    return order_event::TimerExpired{};
 }
 
 OrderEvent EngineOrders::perform(const order_action::Finish & /*finish*/, const OrderRole & /*order*/,
--- a/promise/cellowner.cpp
+++ b/promise/cellowner.cpp
@@ -11,12 +11,12 @@
 namespace fescuesill
 {
 
-std::optional<HostId> heaviestHost(std::uint64_t thing, const std::vector<HostId> &hosts)
+std::optional<HostId> heaviestHost(std::uint64_t hash, const std::vector<HostId> &hosts)
 {
     const HostId *best = nullptr;
     std::uint64_t bestWeight = 0;
     for (const HostId &host : hosts) {
-        const std::uint64_t weight = XXH64(host.value().data(), host.value().size(), thing);
+        const std::uint64_t weight = XXH64(host.value().data(), host.value().size(), hash);
         if (best == nullptr || weight > bestWeight || (weight == bestWeight && host < *best)) {
             best = &host;
             bestWeight = weight;
--- a/promise/cellowner.h
+++ b/promise/cellowner.h
@@ -16,7 +16,7 @@
 {
 
 // The host to which a thing with this hash falls. None when no host is live. The order of the hosts does not matter.
-std::optional<HostId> heaviestHost(std::uint64_t thing, const std::vector<HostId> &hosts);
+std::optional<HostId> heaviestHost(std::uint64_t hash, const std::vector<HostId> &hosts);
 std::optional<HostId> cellOwner(const CellId &cell, const std::vector<HostId> &hosts);
 
 } // namespace fescuesill
--- a/promise/datagramseal.cpp
+++ b/promise/datagramseal.cpp
@@ -105,36 +105,36 @@
     if (delivery.to != this->self || delivery.from == this->self) {
         return DatagramFault::Misdirected;
     }
-    const auto found = this->newest.find(delivery.from);
-    if (found != this->newest.end()) {
+    const auto found = this->lastAccepted.find(delivery.from);
+    if (found != this->lastAccepted.end()) {
         if (delivery.sentAt <= found->second) {
             return DatagramFault::Replayed;
         }
         found->second = delivery.sentAt;
         return std::nullopt;
     }
-    if (this->newest.size() >= this->options.mostSenders) {
-        this->forgetOld(now);
+    if (this->lastAccepted.size() >= this->options.maxSenders) {
+        this->evictStale(now);
     }
     // Full of senders of the last seconds: not to be had without the key. Without a place in the table a datagram could
     // be taken twice, so it is not taken.
-    if (this->newest.size() >= this->options.mostSenders) {
+    if (this->lastAccepted.size() >= this->options.maxSenders) {
         return DatagramFault::Replayed;
     }
-    this->newest.emplace(delivery.from, delivery.sentAt);
+    this->lastAccepted.emplace(delivery.from, delivery.sentAt);
     return std::nullopt;
 }
 
 std::size_t DatagramSeal::senders() const
 {
-    return this->newest.size();
+    return this->lastAccepted.size();
 }
 
-void DatagramSeal::forgetOld(Instant now)
+void DatagramSeal::evictStale(Instant now)
 {
-    for (auto one = this->newest.begin(); one != this->newest.end();) {
-        const bool isOld = one->second < now - this->options.window;
-        one = isOld ? this->newest.erase(one) : std::next(one);
+    for (auto sender = this->lastAccepted.begin(); sender != this->lastAccepted.end();) {
+        const bool isOld = sender->second < now - this->options.window;
+        sender = isOld ? this->lastAccepted.erase(sender) : std::next(sender);
     }
 }
 
--- a/promise/datagramseal.h
+++ b/promise/datagramseal.h
@@ -41,7 +41,7 @@
         // already; one inside it is heard.
         Duration window = 10s;
         // Senders heard within the window. All hold the key, so a fleet of 340 fits many times over.
-        std::size_t mostSenders = 4096;
+        std::size_t maxSenders = 4096;
     };
 
     struct Opened {
@@ -69,13 +69,13 @@
     std::size_t senders() const;
 
 private:
-    void forgetOld(Instant now);
+    void evictStale(Instant now);
 
     KeyRing keys;
     HostId self;
     Options options;
     Instant lastSent;
-    std::map<HostId, Instant> newest; // the latest time taken from each sender
+    std::map<HostId, Instant> lastAccepted; // the latest time taken from each sender
 };
 
 } // namespace fescuesill
--- a/promise/engineordering.cpp
+++ b/promise/engineordering.cpp
@@ -24,7 +24,7 @@
 namespace
 {
 
-[[noreturn]] void throwMisfit()
+[[noreturn]] void throwUnexpectedEvent()
 {
     throw std::logic_error("order: the event does not answer the action");
 }
@@ -39,11 +39,11 @@
 
 OrderAction EngineOrdering::on(const OrderEvent &event, Instant now)
 {
-    const bool woken = std::holds_alternative<order_event::Woken>(event);
+    const bool timerExpired = std::holds_alternative<order_event::TimerExpired>(event);
     switch (this->state) {
     case State::New:
         if (!std::holds_alternative<order_event::Start>(event)) {
-            throwMisfit();
+            throwUnexpectedEvent();
         }
         return this->read();
     case State::Reading:
@@ -52,23 +52,23 @@
         return this->onWritten(event, now);
     case State::Sending:
         return this->onSent(event);
-    case State::Asking:
+    case State::ReadingReport:
         return this->onReported(event);
     case State::WaitingOutLease:
-        if (!woken) {
-            throwMisfit();
+        if (!timerExpired) {
+            throwUnexpectedEvent();
         }
         this->tries = 0;
         return this->read();
     case State::WaitingForReport:
-        if (!woken) {
-            throwMisfit();
+        if (!timerExpired) {
+            throwUnexpectedEvent();
         }
         return this->onReportWait(now);
     case State::Finished:
         break;
     }
-    throwMisfit();
+    throwUnexpectedEvent();
 }
 
 OrderAction EngineOrdering::read()
@@ -83,10 +83,10 @@
 OrderAction EngineOrdering::onRead(const OrderEvent &event, Instant now)
 {
     if (const auto *got = std::get_if<table::RowRead>(&event)) {
-        return got->row ? this->onRow(*got->row, now) : this->take(FencingNumber(0), absent, now);
+        return got->row ? this->onRow(*got->row, now) : this->claim(FencingNumber(0), absent, now);
     }
     if (!std::holds_alternative<table::ReadFailed>(event)) {
-        throwMisfit();
+        throwUnexpectedEvent();
     }
     return this->read();
 }
@@ -106,7 +106,7 @@
     const Instant free = found->leaseEnd + margin;
     const bool mustWait = found->holder != this->request.holder && now < free;
     if (!mustWait) {
-        return this->take(found->fencing, row.version, now);
+        return this->claim(found->fencing, row.version, now);
     }
     if (this->waited) {
         return this->finish(OrderOutcome::HeldByOther);
@@ -119,7 +119,7 @@
     return order_action::Wait{free - now};
 }
 
-OrderAction EngineOrdering::take(FencingNumber seen, RowVersion version, Instant now)
+OrderAction EngineOrdering::claim(FencingNumber seen, RowVersion version, Instant now)
 {
     this->own = OrderRecord{seen + FencingNumber(1),   this->request.holder, this->request.orderId,
                             now + this->options.lease, this->request.kind,   this->request.value};
@@ -135,7 +135,7 @@
     const bool failed = std::holds_alternative<table::Conflict>(event) || std::holds_alternative<table::Refused>(event)
         || std::holds_alternative<table::NoReply>(event);
     if (!failed) {
-        throwMisfit();
+        throwUnexpectedEvent();
     }
     return this->read();
 }
@@ -156,11 +156,11 @@
     if (std::holds_alternative<order_event::Stale>(event)) {
         return this->finish(OrderOutcome::HeldByOther);
     }
-    this->taken = std::holds_alternative<order_event::Taken>(event);
-    if (!this->taken && !std::holds_alternative<order_event::NotTaken>(event)) {
-        throwMisfit();
+    this->accepted = std::holds_alternative<order_event::Accepted>(event);
+    if (!this->accepted && !std::holds_alternative<order_event::NotAccepted>(event)) {
+        throwUnexpectedEvent();
     }
-    this->state = State::Asking;
+    this->state = State::ReadingReport;
     return order_action::ReadReported{};
 }
 
@@ -168,7 +168,7 @@
 {
     const auto *reported = std::get_if<order_event::Reported>(&event);
     if (reported == nullptr && !std::holds_alternative<order_event::ReportFailed>(event)) {
-        throwMisfit();
+        throwUnexpectedEvent();
     }
     if (reported != nullptr && reported->value == this->request.value) {
         return this->finish(OrderOutcome::InForce);
@@ -185,10 +185,10 @@
 // nothing.
 OrderAction EngineOrdering::onReportWait(Instant now)
 {
-    if (!this->taken) {
+    if (!this->accepted) {
         return this->send(now);
     }
-    this->state = State::Asking;
+    this->state = State::ReadingReport;
     return order_action::ReadReported{};
 }
 
--- a/promise/engineordering.h
+++ b/promise/engineordering.h
@@ -34,27 +34,27 @@
 {
 struct Start {
 };
-struct Taken {
+struct Accepted {
 };
 // The engine has seen a higher number.
 struct Stale {
     FencingNumber seen;
 };
-struct NotTaken {
+struct NotAccepted {
 };
 struct Reported {
     std::string value;
 };
 struct ReportFailed {
 };
-struct Woken {
+struct TimerExpired {
 };
 } // namespace order_event
 
 using OrderEvent =
     std::variant<order_event::Start, table::Written, table::Conflict, table::Refused, table::NoReply, table::RowRead,
-                 table::ReadFailed, order_event::Taken, order_event::Stale, order_event::NotTaken,
-                 order_event::Reported, order_event::ReportFailed, order_event::Woken>;
+                 table::ReadFailed, order_event::Accepted, order_event::Stale, order_event::NotAccepted,
+                 order_event::Reported, order_event::ReportFailed, order_event::TimerExpired>;
 
 enum class OrderOutcome {
     InForce, // the engine reports the value
@@ -73,7 +73,7 @@
 struct Write {
     TableWrite write;
 };
-// Compare the clock with sendBy once more right before the first byte. Feed back Taken, Stale or NotTaken (also:
+// Compare the clock with sendBy once more right before the first byte. Feed back Accepted, Stale or NotAccepted (also:
 // unknown).
 struct SendOrder {
     FencingNumber fencing;
@@ -118,7 +118,7 @@
         Writing,
         WaitingOutLease,
         Sending,
-        Asking,
+        ReadingReport,
         WaitingForReport,
         Finished,
     };
@@ -126,7 +126,7 @@
     OrderAction read();
     OrderAction onRead(const OrderEvent &event, Instant now);
     OrderAction onRow(const TableRow &row, Instant now);
-    OrderAction take(FencingNumber seen, RowVersion version, Instant now);
+    OrderAction claim(FencingNumber seen, RowVersion version, Instant now);
     OrderAction onWritten(const OrderEvent &event, Instant now);
     OrderAction send(Instant now);
     OrderAction onSent(const OrderEvent &event);
@@ -139,7 +139,7 @@
     State state = State::New;
     OrderRecord own;
     bool waited = false;
-    bool taken = false;
+    bool accepted = false;
     int tries = 0;
     int reports = 0;
 };
--- a/promise/eventrelay.cpp
+++ b/promise/eventrelay.cpp
@@ -15,8 +15,8 @@
     if (const auto plain = text.rfind("\n\n"); plain != std::string_view::npos) {
         end = plain + 2;
     }
-    if (const auto carried = text.rfind("\r\n\r\n"); carried != std::string_view::npos) {
-        end = end == std::string_view::npos ? carried + 4 : std::max(end, carried + 4);
+    if (const auto withReturns = text.rfind("\r\n\r\n"); withReturns != std::string_view::npos) {
+        end = end == std::string_view::npos ? withReturns + 4 : std::max(end, withReturns + 4);
     }
     return end;
 }
@@ -34,24 +34,24 @@
 
 } // namespace
 
-void EventRelay::noteEvents(std::string_view events)
+void EventRelay::recordEvents(std::string_view events)
 {
     bool isBlank = false; // the line before was one
     while (!events.empty()) {
         const std::size_t end = events.find('\n');
         const std::string_view line = trimmed(events.substr(0, end));
         events.remove_prefix(std::min(events.size(), end + 1));
-        this->taken += line.empty() && !isBlank ? 1 : 0;
+        this->eventCount += line.empty() && !isBlank ? 1 : 0;
         isBlank = line.empty();
         if (line.substr(0, 3) == "id:") {
-            this->last = std::string(trimmed(line.substr(3)));
+            this->lastId = std::string(trimmed(line.substr(3)));
         }
     }
 }
 
 std::string EventRelay::take(std::string_view bytes)
 {
-    this->taken = 0;
+    this->eventCount = 0;
     this->pending.append(bytes);
     const std::size_t end = endOfLastEvent(this->pending);
     if (end == std::string_view::npos) {
@@ -59,7 +59,7 @@
     }
     std::string whole = this->pending.substr(0, end);
     this->pending.erase(0, end);
-    this->noteEvents(whole);
+    this->recordEvents(whole);
     return whole;
 }
 
--- a/promise/eventrelay.h
+++ b/promise/eventrelay.h
@@ -22,7 +22,7 @@
 {
 public:
     // An event without an end is handed on no more than this long; larger ones are a fault of the engine.
-    static constexpr Bytes mostPending{1 << 20};
+    static constexpr Bytes maxPending{1 << 20};
 
     std::string take(std::string_view bytes);
     // The engine that made the pending bytes has ended; another one starts with a whole event.
@@ -37,24 +37,24 @@
     // How many the last take() gave.
     std::int64_t wholeEvents() const
     {
-        return this->taken;
+        return this->eventCount;
     }
     // Empty before the first.
     const std::string &lastEvent() const
     {
-        return this->last;
+        return this->lastId;
     }
     bool isTooLong() const
     {
-        return static_cast<std::int64_t>(this->pending.size()) > mostPending.value();
+        return static_cast<std::int64_t>(this->pending.size()) > maxPending.value();
     }
 
 private:
-    void noteEvents(std::string_view events);
+    void recordEvents(std::string_view events);
 
     std::string pending;
-    std::string last;
-    std::int64_t taken = 0;
+    std::string lastId;
+    std::int64_t eventCount = 0;
 };
 
 } // namespace fescuesill
--- a/promise/factboard.cpp
+++ b/promise/factboard.cpp
@@ -16,28 +16,28 @@
 
 bool FactBoard::apply(const Fact &fact, Instant now)
 {
-    if (fact.bytes.size() > static_cast<std::size_t>(this->options.mostBytes.value())) {
+    if (fact.bytes.size() > static_cast<std::size_t>(this->options.maxFactBytes.value())) {
         return false;
     }
-    const auto found = this->held.find(fact.name);
-    if (found != this->held.end() && fact.version <= found->second.fact.version) {
+    const auto found = this->entries.find(fact.name);
+    if (found != this->entries.end() && fact.version <= found->second.fact.version) {
         return false;
     }
-    const bool isNewUrgent = fact.urgent && (found == this->held.end() || !found->second.fact.urgent);
-    if (isNewUrgent && this->urgent().size() >= this->options.mostUrgent) {
+    const bool isNewUrgent = fact.urgent && (found == this->entries.end() || !found->second.fact.urgent);
+    if (isNewUrgent && this->urgent().size() >= this->options.maxUrgent) {
         return false;
     }
-    if (found == this->held.end() && this->held.size() >= this->options.most) {
+    if (found == this->entries.end() && this->entries.size() >= this->options.maxFacts) {
         this->evictOldest();
     }
-    this->held[fact.name] = Held{fact, now, 0};
+    this->entries[fact.name] = Entry{fact, now, 0};
     return true;
 }
 
 std::vector<Fact> FactBoard::urgent() const
 {
     std::vector<Fact> facts;
-    for (const auto &[name, entry] : this->held) {
+    for (const auto &[name, entry] : this->entries) {
         if (entry.fact.urgent) {
             facts.push_back(entry.fact);
         }
@@ -45,10 +45,10 @@
     return facts;
 }
 
-std::vector<FactBoard::Held *> FactBoard::rumours(int limit)
+std::vector<FactBoard::Entry *> FactBoard::gossip(int limit)
 {
-    std::vector<Held *> fresh;
-    for (auto &[name, entry] : this->held) {
+    std::vector<Entry *> fresh;
+    for (auto &[name, entry] : this->entries) {
         if (entry.sent < limit && !entry.fact.urgent) {
             fresh.push_back(&entry);
         }
@@ -56,28 +56,28 @@
     return fresh;
 }
 
-const Fact *FactBoard::nextInTurn(std::size_t room)
+const Fact *FactBoard::nextRoundRobin(std::size_t room)
 {
-    if (this->held.empty()) {
+    if (this->entries.empty()) {
         return nullptr;
     }
-    auto next = this->held.upper_bound(this->turn);
-    if (next == this->held.end()) {
-        next = this->held.begin();
+    auto next = this->entries.upper_bound(this->lastSentName);
+    if (next == this->entries.end()) {
+        next = this->entries.begin();
     }
     const Fact &fact = next->second.fact;
     if (sizeOf(fact) > room) {
         return nullptr;
     }
-    this->turn = next->first;
+    this->lastSentName = next->first;
     return &fact;
 }
 
 std::vector<Fact> FactBoard::all() const
 {
     std::vector<Fact> facts;
-    facts.reserve(this->held.size());
-    for (const auto &[name, entry] : this->held) {
+    facts.reserve(this->entries.size());
+    for (const auto &[name, entry] : this->entries) {
         facts.push_back(entry.fact);
     }
     return facts;
@@ -85,17 +85,17 @@
 
 std::size_t FactBoard::size() const
 {
-    return this->held.size();
+    return this->entries.size();
 }
 
 void FactBoard::evictOldest()
 {
     // An urgent fact is never the oldest: a declaration that has stood for months is still the one in force.
-    const auto oldest = std::min_element(this->held.begin(), this->held.end(), [](const auto &a, const auto &b) {
+    const auto oldest = std::min_element(this->entries.begin(), this->entries.end(), [](const auto &a, const auto &b) {
         return std::make_pair(a.second.fact.urgent, a.second.since)
             < std::make_pair(b.second.fact.urgent, b.second.since);
     });
-    this->held.erase(oldest);
+    this->entries.erase(oldest);
 }
 
 } // namespace fescuesill
--- a/promise/keyring.cpp
+++ b/promise/keyring.cpp
@@ -52,10 +52,10 @@
         if (!secret) {
             return refuse("is not hexadecimal");
         }
-        if (secret->size() < leastKeyBytes || secret->size() > mostKeyBytes) {
+        if (secret->size() < minKeyBytes || secret->size() > maxKeyBytes) {
             return refuse("has " + std::to_string(secret->size()) + " bytes");
         }
-        if (ring.entries.size() == mostKeys) {
+        if (ring.entries.size() == maxKeys) {
             return refuse("is a third key");
         }
         MacKey key(*secret);
--- a/promise/keyring.h
+++ b/promise/keyring.h
@@ -35,11 +35,11 @@
     };
 
     // HMAC-SHA256 keys shorter than its output weaken it.
-    static constexpr std::size_t leastKeyBytes = 32;
+    static constexpr std::size_t minKeyBytes = 32;
     // A longer one is hashed first and gains nothing.
-    static constexpr std::size_t mostKeyBytes = 64;
+    static constexpr std::size_t maxKeyBytes = 64;
     // The one that signs, and the one that comes or goes.
-    static constexpr std::size_t mostKeys = 2;
+    static constexpr std::size_t maxKeys = 2;
 
     static tl::expected<KeyRing, KeyRingError> parse(std::string_view text);
 
--- a/promise/leadership.cpp
+++ b/promise/leadership.cpp
@@ -38,7 +38,7 @@
 Leadership::Leadership(LeaseRow own, Options given)
     : self(std::move(own))
     , options(given)
-    , untilNextLook(given.look)
+    , pollDelay(given.pollInterval)
 {
 }
 
@@ -79,10 +79,10 @@
         if (this->held && this->isOwnRow()) {
             return leadership_action::WriteLease{LeaseRow{HostId(), {}, this->row->renewals + 1}, this->rowVersion};
         }
-        return leadership_action::WaitUntil{now + this->options.look};
+        return leadership_action::WaitUntil{now + this->options.pollInterval};
     }
     if (!this->isRead) {
-        return now < this->nextLook ? LeadershipAction(leadership_action::WaitUntil{this->nextLook})
+        return now < this->nextPoll ? LeadershipAction(leadership_action::WaitUntil{this->nextPoll})
                                     : leadership_action::ReadLease{};
     }
     if (this->held) {
@@ -102,9 +102,9 @@
         return leadership_action::WriteLease{taken, this->rowVersion};
     }
     if (this->isSeen) {
-        return leadership_action::WaitUntil{now + this->options.look};
+        return leadership_action::WaitUntil{now + this->options.pollInterval};
     }
-    return now < this->nextLook ? LeadershipAction(leadership_action::WaitUntil{this->nextLook})
+    return now < this->nextPoll ? LeadershipAction(leadership_action::WaitUntil{this->nextPoll})
                                 : leadership_action::ReadLease{};
 }
 
@@ -120,14 +120,14 @@
     this->row = read;
     this->rowVersion = version;
     this->isRead = true;
-    this->planLook(isNew, now);
+    this->schedulePoll(isNew, now);
 }
 
-void Leadership::planLook(bool isChanged, Instant now)
+void Leadership::schedulePoll(bool isChanged, Instant now)
 {
-    const Duration next = isChanged ? this->options.firstLook : this->untilNextLook * 2;
-    this->untilNextLook = std::min(next, this->options.look);
-    this->nextLook = now + this->untilNextLook;
+    const Duration next = isChanged ? this->options.firstPollDelay : this->pollDelay * 2;
+    this->pollDelay = std::min(next, this->options.pollInterval);
+    this->nextPoll = now + this->pollDelay;
 }
 
 void Leadership::onWritten(RowVersion version, Instant sent)
@@ -150,7 +150,7 @@
 void Leadership::onFailed(Instant now)
 {
     this->isRead = false;
-    this->nextLook = now + this->options.look;
+    this->nextPoll = now + this->options.pollInterval;
     if (this->held && !this->isLeading(now)) {
         this->held.reset();
     }
--- a/promise/leadership.h
+++ b/promise/leadership.h
@@ -66,12 +66,12 @@
         // How often the leader renews: two renewals may fail before the lease is in danger.
         Duration renew{1s};
         // How often a host that has lost sight of the leader reads the row, at most.
-        Duration look{500ms};
+        Duration pollInterval{500ms};
         // The first look after the row changed comes this soon, each further one after twice the time, up to the above.
         // Where all hosts start at once, most find the row of the last term and reach its holder some milliseconds
         // before it holds the lease again; until they look once more each places alone, on engines that all of them
         // take to be empty. Half a second of that overfilled engines for the next five.
-        Duration firstLook{60ms};
+        Duration firstPollDelay{60ms};
         // What the clocks of two hosts may differ over one lease.
         Duration margin{200ms};
     };
@@ -113,7 +113,7 @@
 
 private:
     bool isOwnRow() const;
-    void planLook(bool isChanged, Instant now);
+    void schedulePoll(bool isChanged, Instant now);
 
     LeaseRow self;
     Options options;
@@ -126,8 +126,8 @@
     Instant taken; // when this term began
     Instant changed; // when the version was first seen here
     std::optional<Instant> held; // the send of the last accepted renewal
-    Instant nextLook;
-    Duration untilNextLook; // after the one before
+    Instant nextPoll;
+    Duration pollDelay; // after the one before
 };
 
 } // namespace fescuesill
--- a/promise/linkauth.cpp
+++ b/promise/linkauth.cpp
@@ -80,12 +80,12 @@
 LinkAuth LinkAuth::initiate(const KeyRing &keys, LinkEnd self, const LinkNonce &nonce)
 {
     LinkAuth auth(keys, std::move(self), nonce, State::AwaitChallenge);
-    auth.agreed = keys.signing().key;
-    putNumber(auth.first, openingKind, 1);
-    putNumber(auth.first, keys.signing().id, 4);
-    auth.first += auth.nonce;
-    putText(auth.first, auth.self.host.value());
-    putText(auth.first, auth.self.address);
+    auth.agreedKey = keys.signing().key;
+    putNumber(auth.openingMessage, openingKind, 1);
+    putNumber(auth.openingMessage, keys.signing().id, 4);
+    auth.openingMessage += auth.nonce;
+    putText(auth.openingMessage, auth.self.host.value());
+    putText(auth.openingMessage, auth.self.address);
     return auth;
 }
 
@@ -96,12 +96,12 @@
 
 const std::string &LinkAuth::opening() const
 {
-    return this->first;
+    return this->openingMessage;
 }
 
 tl::expected<std::string, LinkFault> LinkAuth::on(std::string_view message)
 {
-    if (message.size() > mostOpeningBytes) {
+    if (message.size() > maxOpeningBytes) {
         return this->end(LinkFault::Malformed);
     }
     switch (this->state) {
@@ -124,7 +124,7 @@
     const bool isOpening = reader.number(1) == openingKind;
     const auto id = static_cast<KeyId>(reader.number(4));
     reader.take(this->nonce.size());
-    this->other = HostId(reader.text());
+    this->peerHost = HostId(reader.text());
     const std::string dialled = reader.text();
     if (!isOpening || !reader.isWhole()) {
         return this->end(LinkFault::Malformed);
@@ -136,13 +136,13 @@
     if (dialled != this->self.address) {
         return this->end(LinkFault::WrongAddress);
     }
-    this->agreed = *key;
+    this->agreedKey = *key;
     std::string challenge;
     putNumber(challenge, challengeKind, 1);
     challenge += this->nonce;
     putText(challenge, this->self.host.value());
     this->transcript.append(message).append(challenge);
-    this->proof = this->agreed->sign({acceptorProof, this->transcript});
+    this->proof = this->agreedKey->sign({acceptorProof, this->transcript});
     this->state = State::AwaitProof;
     return challenge + this->proof;
 }
@@ -152,18 +152,18 @@
     FieldReader reader(message);
     const bool isChallenge = reader.number(1) == challengeKind;
     reader.take(this->nonce.size());
-    this->other = HostId(reader.text());
+    this->peerHost = HostId(reader.text());
     const std::string_view mac = reader.take(MacKey::macBytes);
     if (!isChallenge || !reader.isWhole()) {
         return this->end(LinkFault::Malformed);
     }
-    this->transcript.append(this->first).append(message.substr(0, message.size() - mac.size()));
-    if (!this->agreed->check(mac, {acceptorProof, this->transcript})) {
+    this->transcript.append(this->openingMessage).append(message.substr(0, message.size() - mac.size()));
+    if (!this->agreedKey->check(mac, {acceptorProof, this->transcript})) {
         return this->end(LinkFault::WrongProof);
     }
     std::string answer;
     putNumber(answer, proofKind, 1);
-    answer += this->agreed->sign({initiatorProof, this->transcript});
+    answer += this->agreedKey->sign({initiatorProof, this->transcript});
     this->useKeys(fromInitiator, fromAcceptor);
     return answer;
 }
@@ -176,7 +176,7 @@
     if (!isProof || !reader.isWhole()) {
         return this->end(LinkFault::Malformed);
     }
-    if (!this->agreed->check(mac, {initiatorProof, this->transcript})) {
+    if (!this->agreedKey->check(mac, {initiatorProof, this->transcript})) {
         return this->end(LinkFault::WrongProof);
     }
     this->useKeys(fromAcceptor, fromInitiator);
@@ -185,8 +185,8 @@
 
 void LinkAuth::useKeys(std::string_view sending, std::string_view receiving)
 {
-    this->sendKey = this->agreed->derive(sending, this->transcript);
-    this->receiveKey = this->agreed->derive(receiving, this->transcript);
+    this->sendKey = this->agreedKey->derive(sending, this->transcript);
+    this->receiveKey = this->agreedKey->derive(receiving, this->transcript);
     this->state = State::Proven;
 }
 
@@ -203,7 +203,7 @@
 
 const HostId &LinkAuth::peer() const
 {
-    return this->other;
+    return this->peerHost;
 }
 
 std::string LinkAuth::seal(std::string_view payload)
--- a/promise/linkauth.h
+++ b/promise/linkauth.h
@@ -48,7 +48,7 @@
 {
 public:
     // An opening message is never longer; bounds the work and memory for a peer that has proved nothing.
-    static constexpr std::size_t mostOpeningBytes = 600;
+    static constexpr std::size_t maxOpeningBytes = 600;
     // What a message grows by.
     static constexpr std::size_t addedBytes = MacKey::macBytes;
 
@@ -91,11 +91,11 @@
     LinkEnd self;
     std::string nonce;
     State state;
-    std::string first; // the opening message
+    std::string openingMessage; // the opening message
     std::string transcript; // the opening message and what the acceptor answered with
     std::string proof; // the acceptor's
-    HostId other;
-    std::optional<MacKey> agreed;
+    HostId peerHost;
+    std::optional<MacKey> agreedKey;
     std::optional<MacKey> sendKey;
     std::optional<MacKey> receiveKey;
     std::uint64_t sent = 0;
--- a/promise/linkuse.cpp
+++ b/promise/linkuse.cpp
@@ -30,7 +30,7 @@
     case State::Opening:
         // Failure: the owner hangs and every request of a burst is kept for it. It shows as memory that grows. What
         // comes past the bound is placed without the owner, when the limit has passed.
-        if (this->queued >= this->options.mostQueued) {
+        if (this->queued >= this->options.maxQueued) {
             return Way::Drop;
         }
         ++this->queued;
--- a/promise/linkuse.h
+++ b/promise/linkuse.h
@@ -27,7 +27,7 @@
         // longer is placed without the owner.
         Duration openLimit{500ms};
         // Messages that wait for the link to open: what an entry starts in openLimit at its peak, many times over.
-        std::size_t mostQueued = 1024;
+        std::size_t maxQueued = 1024;
     };
     enum class Way {
         Open, // connect, and keep the message until it is open
--- a/promise/membership.cpp
+++ b/promise/membership.cpp
@@ -58,7 +58,7 @@
             }
             continue;
         }
-        if (this->peers.count(info.host) == 0 && this->peers.size() >= this->options.mostMembers) {
+        if (this->peers.count(info.host) == 0 && this->peers.size() >= this->options.maxMembers) {
             continue;
         }
         const auto [found, inserted] = this->peers.try_emplace(info.host);
@@ -79,13 +79,13 @@
 {
     std::vector<ProbeMessage> out;
     if (now - this->lastTick > this->options.period) {
-        this->forgive(now);
+        this->restartTimers(now);
     }
     this->lastTick = now;
     this->expire(now);
     this->pushUrgent(out);
     if (this->pending && !this->pending->indirect && now - this->pending->sentAt >= this->options.ackWait) {
-        this->askOthers(out);
+        this->sendIndirectProbes(out);
     }
     if (now >= this->nextProbe) {
         this->suspectPending(now);
@@ -119,7 +119,7 @@
         break;
     case ProbeKind::IndirectAck:
         if (this->pending && this->pending->sequence == in.sequence && this->pending->target == in.target) {
-            this->noteProbe(true);
+            this->recordProbe(true);
         }
         break;
     }
@@ -139,7 +139,7 @@
 void Membership::applyFact(const Fact &fact, Instant now)
 {
     const bool isNewer = this->board.apply(fact, now);
-    this->hasUrgentNews = this->hasUrgentNews || (isNewer && fact.urgent);
+    this->hasUrgentUpdate = this->hasUrgentUpdate || (isNewer && fact.urgent);
 }
 
 // Failure: the table fails right after a change, and one probe a second with room for a few facts is all that tells the
@@ -147,10 +147,10 @@
 // waits for: its answer brings that host's news back.
 void Membership::pushUrgent(std::vector<ProbeMessage> &out)
 {
-    if (!this->hasUrgentNews || this->peers.empty()) {
+    if (!this->hasUrgentUpdate || this->peers.empty()) {
         return;
     }
-    this->hasUrgentNews = false;
+    this->hasUrgentUpdate = false;
     std::vector<HostId> targets;
     for (const auto &[host, peer] : this->peers) {
         targets.push_back(host);
@@ -227,30 +227,30 @@
     }
     const auto found = this->peers.find(info.host);
     if (found == this->peers.end()) {
-        if (info.state != MemberState::Dead && this->peers.size() < this->options.mostMembers) {
+        if (info.state != MemberState::Dead && this->peers.size() < this->options.maxMembers) {
             Peer peer;
             peer.info = info;
             peer.since = now;
-            peer.heard = true;
+            peer.reportedByHost = true;
             this->peers.emplace(info.host, peer);
         }
         return;
     }
     Peer &peer = found->second;
-    const bool firstHeard = !peer.heard && isHeardAlive(info.state);
+    const bool firstReported = !peer.reportedByHost && isAliveOrLeaving(info.state);
     if (overrides(info, peer.info)) {
         const MemberState state = info.state;
         peer.info = info;
         this->setState(peer, state, now);
     }
-    peer.heard = peer.heard || firstHeard;
+    peer.reportedByHost = peer.reportedByHost || firstReported;
 }
 
 void Membership::applySelf(const MemberInfo &info)
 {
-    const bool doubted = !isHeardAlive(info.state) && info.incarnation >= this->me.incarnation;
-    const bool earlierLife = info.incarnation > this->me.incarnation;
-    if (doubted || earlierLife) {
+    const bool isSuspected = !isAliveOrLeaving(info.state) && info.incarnation >= this->me.incarnation;
+    const bool isEarlierIncarnation = info.incarnation > this->me.incarnation;
+    if (isSuspected || isEarlierIncarnation) {
         this->me.incarnation = info.incarnation + 1;
     }
 }
@@ -258,21 +258,21 @@
 void Membership::onAck(const ProbeMessage &ack, std::vector<ProbeMessage> &out)
 {
     if (this->pending && this->pending->sequence == ack.sequence && this->pending->target == ack.from) {
-        this->noteProbe(true);
+        this->recordProbe(true);
         return;
     }
     const auto relay = this->relays.find(ack.sequence);
     if (relay == this->relays.end()) {
         return;
     }
-    out.push_back(this->message(ProbeKind::IndirectAck, relay->second.asker, relay->second.askerSequence));
+    out.push_back(this->message(ProbeKind::IndirectAck, relay->second.requester, relay->second.requesterSequence));
     out.back().target = ack.from;
     this->relays.erase(relay);
 }
 
 void Membership::onIndirectProbe(const ProbeMessage &request, Instant now, std::vector<ProbeMessage> &out)
 {
-    if (this->relays.size() >= this->options.mostRelays || this->peers.count(request.target) == 0) {
+    if (this->relays.size() >= this->options.maxRelays || this->peers.count(request.target) == 0) {
         return;
     }
     ++this->lastSequence;
@@ -289,7 +289,7 @@
 
 // Failure: this process was frozen and thaws. It shows as a host that at once suspects whom it had probed and buries
 // whom it had suspected, though it was itself that did not listen. What it waited for does not count.
-void Membership::forgive(Instant now)
+void Membership::restartTimers(Instant now)
 {
     this->pending.reset();
     this->recentProbes.clear();
@@ -318,7 +318,7 @@
     }
 }
 
-void Membership::noteProbe(bool answered)
+void Membership::recordProbe(bool answered)
 {
     this->pending.reset();
     this->recentProbes.push_back(answered);
@@ -333,18 +333,18 @@
         return;
     }
     const auto peer = this->peers.find(this->pending->target);
-    this->noteProbe(false);
-    if (peer != this->peers.end() && isHeardAlive(peer->second.info.state)) {
+    this->recordProbe(false);
+    if (peer != this->peers.end() && isAliveOrLeaving(peer->second.info.state)) {
         this->setState(peer->second, MemberState::Suspect, now);
     }
 }
 
-void Membership::askOthers(std::vector<ProbeMessage> &out)
+void Membership::sendIndirectProbes(std::vector<ProbeMessage> &out)
 {
     this->pending->indirect = true;
     std::vector<HostId> candidates;
     for (const auto &[host, peer] : this->peers) {
-        if (isHeardAlive(peer.info.state) && host != this->pending->target) {
+        if (isAliveOrLeaving(peer.info.state) && host != this->pending->target) {
             candidates.push_back(host);
         }
     }
--- a/promise/membership.h
+++ b/promise/membership.h
@@ -44,7 +44,7 @@
         // A dead host is forgotten after this long, so that a late rumour does not bring it back.
         Duration forget{60s};
         // Deltas and facts in one message. A host sends and gets about four messages a second: under 2 KB/s in all.
-        Bytes mostPiggyback{300};
+        Bytes maxPiggyback{300};
         // Every rumour is sent retransmit * log2(hosts) times by each host that hears it. Two cover one lost packet in
         // two; what is missed all the same comes in turn, in the room that rumours leave.
         int retransmit = 2;
@@ -52,12 +52,12 @@
         // some five hops; a few hundred changes a day cost nothing.
         int urgentPushes = 3;
         // The two-year fleet and a margin; more are ignored.
-        std::size_t mostMembers = 1024;
+        std::size_t maxMembers = 1024;
         FactBoard::Options facts;
         // Probes that reach() counts: a cut shows after half as many periods.
         std::size_t reachProbes = 8;
         // Probes made for others at once; a host is asked for some two a period.
-        std::size_t mostRelays = 64;
+        std::size_t maxRelays = 64;
     };
 
     Membership(MemberInfo self, const Options &options, std::uint64_t seed, Instant now);
@@ -86,7 +86,7 @@
         MemberInfo info;
         Instant since; // when the state was entered
         int sent = 0; // times that this delta was passed on
-        bool heard = false; // some host said so; not only the platform's list
+        bool reportedByHost = false; // some host said so; not only the platform's list
         bool listed = false; // in the platform's list as last read
         bool listedLeaving = false;
     };
@@ -98,17 +98,17 @@
     };
     // A probe made for another host.
     struct Relay {
-        HostId asker;
-        std::uint64_t askerSequence = 0;
+        HostId requester;
+        std::uint64_t requesterSequence = 0;
         Instant since;
     };
 
     ProbeMessage message(ProbeKind kind, const HostId &to, std::uint64_t sequence);
     void fill(ProbeMessage &message);
     void fillUrgent(ProbeMessage &message, std::size_t &room);
-    void fillRumours(ProbeMessage &message, std::size_t &room);
-    void fillInTurn(ProbeMessage &message, std::size_t &room);
-    bool fillMemberInTurn(ProbeMessage &message, std::size_t &room);
+    void fillGossip(ProbeMessage &message, std::size_t &room);
+    void fillRoundRobin(ProbeMessage &message, std::size_t &room);
+    bool fillMemberRoundRobin(ProbeMessage &message, std::size_t &room);
     int timesToSend() const;
     void apply(const MemberInfo &info, Instant now);
     void applySelf(const MemberInfo &info);
@@ -117,11 +117,11 @@
     void onAck(const ProbeMessage &ack, std::vector<ProbeMessage> &out);
     void onIndirectProbe(const ProbeMessage &request, Instant now, std::vector<ProbeMessage> &out);
     void setState(Peer &peer, MemberState state, Instant now);
-    void forgive(Instant now);
+    void restartTimers(Instant now);
     void expire(Instant now);
-    void noteProbe(bool answered);
+    void recordProbe(bool answered);
     void suspectPending(Instant now);
-    void askOthers(std::vector<ProbeMessage> &out);
+    void sendIndirectProbes(std::vector<ProbeMessage> &out);
     void startProbe(Instant now, std::vector<ProbeMessage> &out);
     std::optional<HostId> nextTarget();
 
@@ -137,8 +137,8 @@
     Instant nextProbe;
     Instant lastTick;
     std::uint64_t lastSequence = 0;
-    bool hasUrgentNews = false; // not yet pushed on
-    HostId memberTurn; // the last member that was sent in turn
+    bool hasUrgentUpdate = false; // not yet pushed on
+    HostId lastMemberSent; // the last member that was sent in turn
 };
 
 } // namespace fescuesill
--- a/promise/membershipmessages.cpp
+++ b/promise/membershipmessages.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 // What a message carries, in this order: the sender itself; what the receiver should know about itself; rumours, those
-// first that were passed on least; then everything in turn. The sum stays below mostPiggyback, so the traffic of a host
+// first that were passed on least; then everything in turn. The sum stays below maxPiggyback, so the traffic of a host
 // does not depend on the size of the fleet or on how much happens in it: news then only takes longer.
 
 namespace fescuesill
@@ -21,7 +21,7 @@
     // Failure: a host is suspected and never hears of it, so it cannot refute. It shows as a live host that is dropped.
     // Whoever talks to it tells it.
     const auto peer = this->peers.find(to);
-    if (peer != this->peers.end() && !isHeardAlive(peer->second.info.state)) {
+    if (peer != this->peers.end() && !isAliveOrLeaving(peer->second.info.state)) {
         message.members.push_back(peer->second.info);
     }
     this->fill(message);
@@ -30,15 +30,15 @@
 
 void Membership::fill(ProbeMessage &message)
 {
-    const auto most = static_cast<std::size_t>(this->options.mostPiggyback.value());
+    const auto limit = static_cast<std::size_t>(this->options.maxPiggyback.value());
     std::size_t used = 0;
     for (const MemberInfo &info : message.members) {
         used += sizeOf(info);
     }
-    std::size_t room = most > used ? most - used : 0;
+    std::size_t room = limit > used ? limit - used : 0;
     this->fillUrgent(message, room);
-    this->fillRumours(message, room);
-    this->fillInTurn(message, room);
+    this->fillGossip(message, room);
+    this->fillRoundRobin(message, room);
 }
 
 void Membership::fillUrgent(ProbeMessage &message, std::size_t &room)
@@ -53,64 +53,64 @@
 }
 
 // What was passed on least goes first; members before facts.
-void Membership::fillRumours(ProbeMessage &message, std::size_t &room)
+void Membership::fillGossip(ProbeMessage &message, std::size_t &room)
 {
-    struct Rumour {
+    struct GossipItem {
         int *sent;
         const MemberInfo *member;
         const Fact *fact;
         std::size_t size;
     };
-    std::vector<Rumour> rumours;
+    std::vector<GossipItem> items;
     const int limit = this->timesToSend();
     for (auto &[host, peer] : this->peers) {
         if (peer.sent < limit && host != message.to) {
-            rumours.push_back({&peer.sent, &peer.info, nullptr, sizeOf(peer.info)});
+            items.push_back({&peer.sent, &peer.info, nullptr, sizeOf(peer.info)});
         }
     }
-    for (FactBoard::Held *held : this->board.rumours(limit)) {
-        rumours.push_back({&held->sent, nullptr, &held->fact, sizeOf(held->fact)});
+    for (FactBoard::Entry *entry : this->board.gossip(limit)) {
+        items.push_back({&entry->sent, nullptr, &entry->fact, sizeOf(entry->fact)});
     }
-    std::stable_sort(rumours.begin(), rumours.end(),
-                     [](const Rumour &a, const Rumour &b) { return *a.sent < *b.sent; });
-    for (const Rumour &rumour : rumours) {
-        if (rumour.size > room) {
+    std::stable_sort(items.begin(), items.end(),
+                     [](const GossipItem &a, const GossipItem &b) { return *a.sent < *b.sent; });
+    for (const GossipItem &item : items) {
+        if (item.size > room) {
             continue;
         }
-        room -= rumour.size;
-        ++*rumour.sent;
-        if (rumour.member != nullptr) {
-            message.members.push_back(*rumour.member);
+        room -= item.size;
+        ++*item.sent;
+        if (item.member != nullptr) {
+            message.members.push_back(*item.member);
         } else {
-            message.facts.push_back(*rumour.fact);
+            message.facts.push_back(*item.fact);
         }
     }
 }
 
 // Two facts, then a member, as long as there is room, each kind once round at most.
-void Membership::fillInTurn(ProbeMessage &message, std::size_t &room)
+void Membership::fillRoundRobin(ProbeMessage &message, std::size_t &room)
 {
     const std::size_t turns = std::max(this->board.size(), this->peers.size());
     for (std::size_t turn = 0; turn < turns; ++turn) {
         if (turn % 3 != 2) {
-            const Fact *fact = this->board.nextInTurn(room);
+            const Fact *fact = this->board.nextRoundRobin(room);
             if (fact != nullptr) {
                 room -= sizeOf(*fact);
                 message.facts.push_back(*fact);
             }
-        } else if (!this->fillMemberInTurn(message, room)) {
+        } else if (!this->fillMemberRoundRobin(message, room)) {
             return;
         }
     }
 }
 
 // False when the next one has no room.
-bool Membership::fillMemberInTurn(ProbeMessage &message, std::size_t &room)
+bool Membership::fillMemberRoundRobin(ProbeMessage &message, std::size_t &room)
 {
     if (this->peers.empty()) {
         return false;
     }
-    auto next = this->peers.upper_bound(this->memberTurn);
+    auto next = this->peers.upper_bound(this->lastMemberSent);
     if (next == this->peers.end()) {
         next = this->peers.begin();
     }
@@ -118,8 +118,8 @@
     if (size > room) {
         return false;
     }
-    this->memberTurn = next->first;
-    if (next->second.heard && next->first != message.to) {
+    this->lastMemberSent = next->first;
+    if (next->second.reportedByHost && next->first != message.to) {
         room -= size;
         message.members.push_back(next->second.info);
     }
--- a/promise/orphanfinder.cpp
+++ b/promise/orphanfinder.cpp
@@ -44,7 +44,7 @@
     this->holding[entry].insert(stream);
 }
 
-void OrphanFinder::onLetGo(const HostId &entry, const StreamId &stream)
+void OrphanFinder::onRelease(const HostId &entry, const StreamId &stream)
 {
     const auto found = this->holding.find(entry);
     if (found != this->holding.end()) {
--- a/promise/orphanfinder.h
+++ b/promise/orphanfinder.h
@@ -5,7 +5,7 @@
 //     OrphanFinder finder(options, now);                    // when this scheduler becomes the owner of the cell
 //     finder.onEntries(liveEntries);                        // from membership
 //     finder.onHolding(entry, streams);                     // an entry says all that it holds, after each reconnect
-//     finder.onHold(entry, stream); finder.onLetGo(entry, stream);
+//     finder.onHold(entry, stream); finder.onRelease(entry, stream);
 //     for (const StreamId &stream : finder.onStreams(engine, list, now)) { DELETE it for its line's entry }
 //
 // A stream that the engine still lists is named again with its next list: cancelling goes on until the engine confirms.
@@ -43,7 +43,7 @@
     void onEntries(std::set<HostId> live);
     void onHolding(const HostId &entry, std::set<StreamId> streams);
     void onHold(const HostId &entry, const StreamId &stream);
-    void onLetGo(const HostId &entry, const StreamId &stream);
+    void onRelease(const HostId &entry, const StreamId &stream);
     // The link to the entry broke: what it held is not known until it says so again.
     void onEntryLost(const HostId &entry);
 
--- a/promise/placingroute.cpp
+++ b/promise/placingroute.cpp
@@ -40,7 +40,7 @@
 {
     if (this->isLeaderReached) {
         this->isLeaderReached = false;
-        this->waitUntil = now + this->options.patience;
+        this->waitUntil = now + this->options.deputyWait;
     }
 }
 
@@ -72,7 +72,7 @@
         this->deputy = this->nextDeputy;
         this->nextDeputy.clear();
         this->notBefore = now;
-        this->waitUntil = now + this->options.patience;
+        this->waitUntil = now + this->options.deputyWait;
     }
 }
 
@@ -94,7 +94,7 @@
     return isWanted ? std::optional(this->deputy) : std::nullopt;
 }
 
-bool PlacingRoute::isStandingIn() const
+bool PlacingRoute::isActingLeader() const
 {
     return this->needsDeputy() && this->deputy == this->self && !this->isStopping;
 }
--- a/promise/placingroute.h
+++ b/promise/placingroute.h
@@ -32,7 +32,7 @@
         Duration retry{100ms};
         // How long generations wait for a deputy before this host places them alone. Two hosts find the same leader
         // lost within a heartbeat of each other.
-        Duration patience{500ms};
+        Duration deputyWait{500ms};
     };
 
     PlacingRoute(std::string ownAddress, Options given)
@@ -57,7 +57,7 @@
     // Where a link to the deputy should be; none where none is needed now.
     std::optional<std::string> wantedDeputy(Instant now) const;
     // This host is the deputy and the leader is lost: it places for the hosts that ask it.
-    bool isStandingIn() const;
+    bool isActingLeader() const;
 
 private:
     bool needsDeputy() const;
--- a/promise/probemessage.cpp
+++ b/promise/probemessage.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-bool isHeardAlive(MemberState state)
+bool isAliveOrLeaving(MemberState state)
 {
     return state == MemberState::Alive || state == MemberState::Leaving;
 }
--- a/promise/probemessage.h
+++ b/promise/probemessage.h
@@ -61,7 +61,7 @@
 };
 
 // Whether somebody hears the host: not suspected, not dead.
-bool isHeardAlive(MemberState state);
+bool isAliveOrLeaving(MemberState state);
 // Bytes on the wire, transport left out; within a few of what CBOR takes.
 std::size_t sizeOf(const MemberInfo &info);
 std::size_t sizeOf(const Fact &fact);
--- a/promise/testing/datagramseal_test.cpp
+++ b/promise/testing/datagramseal_test.cpp
@@ -135,7 +135,7 @@
 TEST(DatagramSeal, RemembersTheSendersOfTheWindowOnly)
 {
     DatagramSeal::Options options;
-    options.mostSenders = 3;
+    options.maxSenders = 3;
     DatagramSeal receiver(ringOf("a"), b, options);
     for (int i = 0; i < 3; ++i) {
         EXPECT_FALSE(receiver.admit({HostId("h" + std::to_string(i)), b, now}, now));
--- a/promise/testing/engineordering_test.cpp
+++ b/promise/testing/engineordering_test.cpp
@@ -34,15 +34,15 @@
     ordering.on(order_event::Start{}, start);
     OrderAction action = ordering.on(table::RowRead{rowOf(start + 5s)}, start);
     EXPECT_EQ(std::get<Wait>(action).duration, Duration(5s)); // the numbers make the clock margin needless
-    ordering.on(order_event::Woken{}, start);
+    ordering.on(order_event::TimerExpired{}, start);
     action = ordering.on(table::RowRead{rowOf(start)}, start);
     EXPECT_EQ(decodeOrderRecord(std::get<Write>(action).write.value)->fencing, FencingNumber(8));
     action = ordering.on(table::Written{RowVersion(4)}, start);
     EXPECT_EQ(std::get<SendOrder>(action).fencing, FencingNumber(8));
-    EXPECT_TRUE(std::holds_alternative<ReadReported>(ordering.on(order_event::Taken{}, start)));
+    EXPECT_TRUE(std::holds_alternative<ReadReported>(ordering.on(order_event::Accepted{}, start)));
     EXPECT_TRUE(std::holds_alternative<Wait>(ordering.on(order_event::Reported{"decode"}, start)));
     // Loading takes longer than the lease: the order is not repeated, the report is.
-    EXPECT_TRUE(std::holds_alternative<ReadReported>(ordering.on(order_event::Woken{}, start + 40s)));
+    EXPECT_TRUE(std::holds_alternative<ReadReported>(ordering.on(order_event::TimerExpired{}, start + 40s)));
     EXPECT_EQ(outcomeOf(ordering.on(order_event::Reported{"prefill"}, start + 40s)), OrderOutcome::InForce);
 }
 
@@ -54,14 +54,14 @@
     ordering.on(order_event::Start{}, start);
     OrderAction action = ordering.on(table::RowRead{rowOf(start + 5s)}, start);
     EXPECT_EQ(std::get<Wait>(action).duration, Duration(6s));
-    ordering.on(order_event::Woken{}, start + 6s);
+    ordering.on(order_event::TimerExpired{}, start + 6s);
     action = ordering.on(table::RowRead{rowOf(start + 5s)}, start + 6s);
     EXPECT_TRUE(std::holds_alternative<Write>(action));
 
     EngineOrdering overtaken(requestOf(false), {});
     overtaken.on(order_event::Start{}, start);
     overtaken.on(table::RowRead{rowOf(start + 5s)}, start);
-    overtaken.on(order_event::Woken{}, start + 6s);
+    overtaken.on(order_event::TimerExpired{}, start + 6s);
     EXPECT_EQ(outcomeOf(overtaken.on(table::RowRead{rowOf(start + 15s)}, start + 6s)), OrderOutcome::HeldByOther);
 }
 
--- a/promise/testing/leadership_test.cpp
+++ b/promise/testing/leadership_test.cpp
@@ -129,7 +129,7 @@
     ASSERT_GE(looks.size(), 4U);
     EXPECT_LE(looks[1], 100);
     EXPECT_LE(looks.size(), 2000U / 500 + 4); // at most half a second apart in the end, and no oftener
-    const auto last = static_cast<std::int64_t>(options.look / 1ms);
+    const auto last = static_cast<std::int64_t>(options.pollInterval / 1ms);
     EXPECT_NEAR(static_cast<double>(looks.back() - looks[looks.size() - 2]), static_cast<double>(last), 10);
 }
 
--- a/promise/testing/linkauth_test.cpp
+++ b/promise/testing/linkauth_test.cpp
@@ -244,7 +244,7 @@
 
 TEST(LinkAuth, AnOpeningHasABound)
 {
-    const LinkEnd endless{HostId(std::string(LinkAuth::mostOpeningBytes, 'h')), scheduler.address};
+    const LinkEnd endless{HostId(std::string(LinkAuth::maxOpeningBytes, 'h')), scheduler.address};
     const LinkAuth dialling = LinkAuth::initiate(ringOf("a"), endless, nonceOf('n'));
     EXPECT_EQ(newEnds().acceptor.on(dialling.opening()).error(), LinkFault::Malformed);
 }
--- a/promise/testing/linkuse_test.cpp
+++ b/promise/testing/linkuse_test.cpp
@@ -95,7 +95,7 @@
 TEST(LinkUse, KeepsABoundedNumberOfMessages)
 {
     LinkUse::Options options;
-    options.mostQueued = 2;
+    options.maxQueued = 2;
     LinkUse use(options);
     EXPECT_EQ(use.onMessage(start), Way::Open);
     EXPECT_EQ(use.onMessage(start), Way::Queue);
--- a/promise/testing/orphanfinder_test.cpp
+++ b/promise/testing/orphanfinder_test.cpp
@@ -45,7 +45,7 @@
     for (int second = 0; second < 60; ++second) {
         EXPECT_EQ(finder.onStreams(engine, list, start + std::chrono::seconds(second)), none);
     }
-    finder.onLetGo(b, s1);
+    finder.onRelease(b, s1);
     finder.onStreams(engine, list, start + 60s);
     EXPECT_EQ(finder.onStreams(engine, list, start + 75s), onlyS1);
 }
--- a/promise/testing/placingroute_test.cpp
+++ b/promise/testing/placingroute_test.cpp
@@ -42,14 +42,14 @@
 TEST(PlacingRoute, StandsInOnlyWhileItHasNoLeader)
 {
     PlacingRoute route = following(self);
-    EXPECT_FALSE(route.isStandingIn());
+    EXPECT_FALSE(route.isActingLeader());
     route.onLeaderLost(start);
-    EXPECT_TRUE(route.isStandingIn());
+    EXPECT_TRUE(route.isActingLeader());
     EXPECT_FALSE(route.wantedDeputy(start)); // no link to itself
     route.onLeading(true);
-    EXPECT_FALSE(route.isStandingIn());
+    EXPECT_FALSE(route.isActingLeader());
     route.onLeading(false);
-    EXPECT_FALSE(route.isStandingIn());
+    EXPECT_FALSE(route.isActingLeader());
 }
 
 // Only this host lost the leader: the deputy still follows it and refuses; the leader may come back into reach.
@@ -85,11 +85,11 @@
     next.onLeaderLost(start);
     next.onDeputyReached();
     next.onNextDeputyNamed(self);
-    EXPECT_FALSE(next.isStandingIn());
+    EXPECT_FALSE(next.isActingLeader());
     next.onDeputyLost(later);
-    EXPECT_TRUE(next.isStandingIn());
+    EXPECT_TRUE(next.isActingLeader());
     next.onStopping();
-    EXPECT_FALSE(next.isStandingIn());
+    EXPECT_FALSE(next.isActingLeader());
 }
 
 TEST(PlacingRoute, StaysAloneWithoutADeputy)
@@ -97,7 +97,7 @@
     PlacingRoute route = following("");
     route.onLeaderLost(start);
     EXPECT_FALSE(route.wantedDeputy(start));
-    EXPECT_FALSE(route.isStandingIn());
+    EXPECT_FALSE(route.isActingLeader());
     route.onDeputyReached(); // a link that was opened before
     EXPECT_EQ(route.path(start), PlacingPath::Alone);
 }
--- a/testing/orderworld.cpp
+++ b/testing/orderworld.cpp
@@ -128,7 +128,7 @@
         const auto effect = [this, &owner, fencing = order->fencing] {
             return this->engineTakes(owner, fencing);
         };
-        process.act<OrderEvent>({"order", false}, effect, order_event::NotTaken{}, order_event::NotTaken{}, next);
+        process.act<OrderEvent>({"order", false}, effect, order_event::NotAccepted{}, order_event::NotAccepted{}, next);
     } else if (std::holds_alternative<order_action::ReadReported>(action)) {
         process.act<OrderEvent>(
             {"read the report", false}, [this]() -> OrderEvent { return order_event::Reported{this->value}; },
@@ -136,7 +136,7 @@
     } else if (const auto *wait = std::get_if<order_action::Wait>(&action)) {
         this->simulation.after(wait->duration, [next, &process] {
             if (process.alive) {
-                next(order_event::Woken{});
+                next(order_event::TimerExpired{});
             }
         });
     } else {
@@ -155,7 +155,7 @@
         ++this->lateOrders;
     }
     this->value = owner.wish;
-    return order_event::Taken{};
+    return order_event::Accepted{};
 }
 
 } // namespace fescuesill
--- a/wire/peernode.cpp
+++ b/wire/peernode.cpp
@@ -193,7 +193,7 @@
             this->becomeOpen(id);
             return;
         }
-        this->limitMessages(link, LinkAuth::mostOpeningBytes);
+        this->limitMessages(link, LinkAuth::maxOpeningBytes);
         this->transmit(link, this->guard->begin(id, this->connectionOf(link), steadyNow()));
         if (const auto oldest = this->guard->surplus()) {
             this->terminate(*oldest);
