--- a/promise/bytefields.h
+++ b/promise/bytefields.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Numbers and texts one after the other in a string of bytes, big-endian, each text behind its length.
+// Encodes numbers and texts one after the other in a byte string: numbers big-endian, texts with a length prefix.
 //
 //     std::string out;
 //     putNumber(out, 7, 2);
@@ -8,7 +8,7 @@
 //     FieldReader reader(out);
 //     const std::uint64_t number = reader.number(2);
 //     const std::string text = reader.text();
-//     if (!reader.isWhole()) { ... cut short, or more behind it ... }
+//     if (!reader.isWhole()) { ... truncated, or trailing bytes ... }
 
 #include <cstdint>
 #include <string>
@@ -18,10 +18,10 @@
 {
 
 void putNumber(std::string &out, std::uint64_t number, int bytes);
-// A text of at most 65,535 bytes.
+// The text is at most 65,535 bytes long.
 void putText(std::string &out, std::string_view text);
 
-// Takes fields off the front; after the first that does not fit all are empty.
+// Reads fields from the front. After the first field that does not fit, all further fields are empty.
 class FieldReader
 {
 public:
@@ -29,12 +29,12 @@
 
     std::uint64_t number(int size);
     std::string text();
-    // Exactly as many bytes.
+    // Reads exactly `size` bytes.
     std::string_view take(std::size_t size);
 
-    // Whether all that was taken was there.
+    // Whether every field read so far was present.
     bool fits() const;
-    // And nothing is left.
+    // Whether every field read so far was present and no bytes are left.
     bool isWhole() const;
 
 private:
--- a/promise/cellowner.cpp
+++ b/promise/cellowner.cpp
@@ -2,11 +2,12 @@
 
 #include <xxhash.h>
 
-// Every host weighs (thing, host) with the same hash and takes the heaviest. All hosts must compute the same weight,
-// also across versions of the program: XXH64 is a fixed function, unlike std::hash. A tie goes to the lower name.
+// Rendezvous hashing: every host computes a weight for each (key hash, host) pair and chooses the host with the highest
+// weight. All hosts must compute the same weight, also across versions of the program: XXH64 is a fixed function,
+// unlike std::hash. A tie goes to the lower name.
 //
-// Rejected: a lock row in the table per cell. It would make placing depend on the store, which may be down for long,
-// and two owners for a few seconds cost quality only.
+// Rejected: a lock row per cell in the table. Placement would depend on the store, which may be unavailable for a long
+// time, and two owners for a few seconds only reduce the quality of placement.
 
 namespace fescuesill
 {
--- a/promise/cellowner.h
+++ b/promise/cellowner.h
@@ -1,10 +1,11 @@
 #pragma once
 
-// Which host's scheduler decides for a cell: rendezvous hash over the live hosts of the cell's data centre.
+// Selects the host whose scheduler owns a cell: a rendezvous hash over the live hosts of the cell's data centre.
 //
 //     const std::optional<HostId> owner = cellOwner(cell, liveHostsOf(cell.dataCentre));
 //
-// Hosts that see the same members agree without a message; when one leaves, only its own cells move.
+// Hosts with the same view of the members select the same owner without exchanging messages. When a host leaves, only
+// its own cells move.
 
 #include "fescuesill/ids.h"
 
@@ -15,7 +16,7 @@
 namespace fescuesill
 {
 
-// The host to which a thing with this hash falls. None when no host is live. The order of the hosts does not matter.
+// The host with the highest weight for the hash; none when the list is empty. The order of the hosts does not matter.
 std::optional<HostId> heaviestHost(std::uint64_t hash, const std::vector<HostId> &hosts);
 std::optional<HostId> cellOwner(const CellId &cell, const std::vector<HostId> &hosts);
 
--- a/promise/datagramseal.cpp
+++ b/promise/datagramseal.cpp
@@ -4,22 +4,24 @@
 
 #include <algorithm>
 
-// DATAGRAM = format, key id, time, payload, code over all before it.
+// DATAGRAM = format, key id, time, payload, MAC over all preceding bytes.
 //
-// Failure: one forged datagram names version 9e18 of the declaration, or a dead host as alive. It shows as a fleet that
-// waits for a version that does not exist. The code is checked before one byte of the payload is looked at.
+// A single forged datagram could announce version 9e18 of the declaration, so that the fleet waits for a version that
+// does not exist, or report a dead host as alive. The MAC is therefore verified before the payload is parsed.
 //
-// Replay. Two guards were weighed, and each alone has a hole. A window of time alone lets a datagram be sent again for
-// as long as the window; a number that rises for each sender alone lets everything of the past in at a receiver that
-// has just started, and all of a sender that is gone. So the time is the number: it has to lie within the window and to
-// be above the last one taken from that sender. What falls out of the window needs no memory, so the table holds the
-// senders of the last seconds only. A receiver that starts within the window of a datagram takes it once more; what
-// rides on it is versioned, and it is an answer to a probe that nobody waits for.
+// Replay protection combines two checks, because neither is enough alone. A time window alone accepts a replay for the
+// length of the window. A sequence number per sender alone accepts old datagrams at a receiver that has just started,
+// and those of a sender that has left. So the timestamp serves as the sequence number: it must lie within the window
+// and be later than the last one accepted from that sender. Timestamps outside the window need no state, so the table
+// holds only the senders of the last seconds. A receiver that starts within a datagram's window may accept it a second
+// time; this is harmless, since the facts in it are versioned and the probe it answers is not pending.
 //
-// A datagram that overtakes another of the same sender is dropped: a lost probe, which the protocol is made for.
+// A datagram that arrives after a later one of the same sender is dropped. It counts as a lost probe, which the
+// protocol tolerates.
 //
-// A sender whose clock is set back goes on from its last time, one microsecond at a time, so that it stays above what
-// it sent. Set back by more than the window it starts over: what it sent by the wrong clock nobody took.
+// A sender whose clock is set back within the window continues from its last timestamp in steps of one microsecond, so
+// that timestamps keep increasing. When the clock is set back by more than the window, the sender starts from the new
+// time: receivers did not accept what it sent with the wrong clock.
 
 namespace fescuesill
 {
@@ -116,8 +118,8 @@
     if (this->lastAccepted.size() >= this->options.maxSenders) {
         this->evictStale(now);
     }
-    // Full of senders of the last seconds: not to be had without the key. Without a place in the table a datagram could
-    // be taken twice, so it is not taken.
+    // The table can only be filled with recent senders by a holder of the key. A datagram whose sender cannot be
+    // recorded could be replayed, so it is refused.
     if (this->lastAccepted.size() >= this->options.maxSenders) {
         return DatagramFault::Replayed;
     }
--- a/promise/deputychoice.h
+++ b/promise/deputychoice.h
@@ -1,13 +1,14 @@
 #pragma once
 
-// The leader's choice of the follower that places for the others while the leader cannot be reached.
+// The leader's choice of the deputy: the follower that places generations for the others while the leader is
+// unreachable.
 //
 //     DeputyChoice<LinkId> choice;
 //     choice.add(link, "10.1.0.21:7660");
-//     if (choice.deputy() != told) { ... tell all followers ... }
+//     if (choice.deputy() != announced) { ... announce it to all followers ... }
 //     choice.remove(link);
 //
-// The follower that has been there longest: it changes only when that one leaves.
+// The deputy is the follower that has been connected for the longest time and changes only when that one leaves.
 
 #include <map>
 #include <string>
@@ -43,7 +44,7 @@
         this->addresses.clear();
         this->chosen.clear();
     }
-    // IP:PORT of its links; empty where there is no follower.
+    // IP:PORT at which the deputy accepts links; empty when there is no follower.
     const std::string &deputy() const
     {
         return this->chosen;
--- a/promise/draining.cpp
+++ b/promise/draining.cpp
@@ -1,11 +1,12 @@
 #include "promise/draining.h"
 
-// Order matters. First the health check fails, while requests are still taken: the balancer needs some seconds to
-// notice, and whoever refuses at once turns callers away that no other host has been given. Then nothing new is taken,
-// and what runs is served to its end. Past the limit streams are ended with their resume token, which any other entry
-// reads on with; the engine keeps writing meanwhile. A request that is answered in one piece cannot be moved, so the
-// process waits for it: no limit ends a request. Last, what outlives a request is done too: a ledger row without its
-// answer would leave a booking in doubt, a cancellation not confirmed would leave memory held.
+// Order matters. First the health check fails while new requests are still admitted: the load balancer needs some
+// seconds to notice, and until then it sends callers here that an early refusal would turn away for no reason. Then no
+// new request is admitted and running ones are completed. Past the limit, streams are ended with their resume token,
+// with which any other entry continues them; the engine keeps generating meanwhile. A request with a single unstreamed
+// reply cannot be moved, so the process waits for it: no limit ends a request. Finally, work that outlives a request is
+// completed: a ledger row without its answer would leave a booking unresolved, and an unconfirmed cancellation would
+// leave engine memory allocated.
 
 namespace fescuesill
 {
--- a/promise/draining.h
+++ b/promise/draining.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// The planned stop of one process.
+// The graceful shutdown of one process.
 //
 //     Draining draining(options);
 //     draining.start(now);                                   // SIGTERM or POST /drain
-//     draining.onWork(DrainWork{requests, cells, duties});     // whenever it changes
+//     draining.onWork(DrainWork{requests, cells, duties});     // whenever the counts change
 //     draining.isReady(); draining.admits(now);               // /readyz; a new request
 //     draining.moves(now);                                    // end movable streams with their resume token
 //     draining.mayExit(now);
@@ -17,7 +17,7 @@
 namespace fescuesill
 {
 
-// What is still to be done here.
+// The work that this process still has to finish.
 struct DrainWork {
     int requests = 0; // in progress, streams included
     int cells = 0; // owned by this scheduler
@@ -26,9 +26,9 @@
 
 enum class DrainPhase {
     Serving,
-    Announcing, // not ready, still admits: the balancer has not noticed yet
-    Finishing, // admits nothing, serves what runs
-    Moving, // past the limit: streams are moved
+    Announcing, // reports not ready, still admits: the load balancer has not noticed yet
+    Finishing, // admits no new requests, completes the running ones
+    Moving, // past the limit: streams are moved to other entries
     Finished,
 };
 
@@ -36,9 +36,9 @@
 {
 public:
     struct Options {
-        // How long the balancer takes to see /readyz fail. Refusing sooner would refuse requests for no reason.
+        // How long the load balancer takes to see /readyz fail. Refusing earlier would turn requests away needlessly.
         Duration announce{3s};
-        // After this, streams are handed to another entry by their resume token.
+        // After this, streams are moved to other entries with their resume tokens.
         Duration limit{60s};
     };
 
@@ -50,7 +50,7 @@
     DrainPhase phase(Instant now) const;
     bool isReady() const;
     bool admits(Instant now) const;
-    // Cells go to their next owner as soon as the stop begins.
+    // Cells are transferred to their next owner as soon as the shutdown begins.
     bool handsOverCells() const;
     bool moves(Instant now) const;
     bool mayExit(Instant now) const;
@@ -61,7 +61,7 @@
     DrainWork work;
 };
 
-// What a request is told that comes too late.
+// The refusal for a request that arrives after admission has ended.
 Refusal drainingRefusal();
 
 } // namespace fescuesill
--- a/promise/engineordering.cpp
+++ b/promise/engineordering.cpp
@@ -3,21 +3,21 @@
 #include <stdexcept>
 #include <utility>
 
-// The row holds the highest number given out, who may order under it and until when. Numbers come from compare-and-set
-// on the row, so no two orders have the same one, and each is higher than all before.
+// The row holds the highest fencing number issued, the holder that may order under it and the end of the lease. Numbers
+// come from compare-and-set on the row, so they are unique and strictly increasing.
 //
-// Engines that check numbers: the number alone shuts an old holder out, whatever the clocks say. The lease is waited
-// for all the same: while two schedulers both believe that they own the cell, each would order the engine back from
-// what the other wished, and every change of role or model costs seconds of its work.
+// Engines that check fencing numbers: the number alone excludes an old holder, whatever the clocks show. The lease is
+// still waited for: while two schedulers both act as the owner of the cell, each would revert the other's orders, and
+// every change of role or model costs the engine seconds of work.
 //
-// Engines that ignore numbers: only time keeps two holders apart. A holder sends only while its own lease runs, and a
-// new one takes the row only when the old lease has been over for the clock margin on top. What remains is a holder
-// frozen between its last look at the clock and the first byte: its order arrives late and the engine takes it. It
-// shows as an engine that leaves the desired state by itself. Nothing can prevent that at an engine that checks
-// nothing, so it is repaired: orders are level-triggered, and the holder orders again when the report differs from the
-// wish.
+// Engines that ignore fencing numbers: only time separates two holders. A holder sends only while its own lease is
+// valid, and a new holder claims the row only once the old lease has been over for the clock margin. One case remains:
+// a holder suspended between its last check of the clock and the first byte sends a late order, which the engine
+// accepts, and the engine leaves the desired state. An engine that checks nothing cannot be protected from this, so it
+// is repaired: orders are level-triggered, and the holder orders again when the reported state differs from the desired
+// one.
 //
-// An order whose reply is lost is not a case of its own: the engine's report says what is so.
+// An order whose reply is lost needs no case of its own: the engine's reported state decides.
 
 namespace fescuesill
 {
@@ -26,7 +26,7 @@
 
 [[noreturn]] void throwUnexpectedEvent()
 {
-    throw std::logic_error("order: the event does not answer the action");
+    throw std::logic_error("order: the event does not match the last action");
 }
 
 } // namespace
@@ -98,7 +98,7 @@
         return this->finish(OrderOutcome::Malformed);
     }
     if (found->orderId == this->request.orderId) {
-        // The write took effect and its reply was lost.
+        // The write took effect but its reply was lost.
         this->own = *found;
         return this->send(now);
     }
@@ -112,9 +112,9 @@
         return this->finish(OrderOutcome::HeldByOther);
     }
     if (free - now > this->options.lease + 2 * this->options.clockMargin) {
-        return this->finish(OrderOutcome::HeldByOther); // a lease that long is not one of ours
+        return this->finish(OrderOutcome::HeldByOther); // longer than any lease that this program writes
     }
-    this->waited = true; // waits once: who is overtaken while it waits leaves the engine to the other
+    this->waited = true; // waits once: if another holder claims the row meanwhile, it keeps the engine
     this->state = State::WaitingOutLease;
     return order_action::Wait{free - now};
 }
@@ -142,8 +142,8 @@
 
 OrderAction EngineOrdering::send(Instant now)
 {
-    // Failure: the holder was frozen past its lease and still believes that it holds it. It shows as two holders'
-    // orders mixed at one engine. The time is taken after the write, so a frozen holder sees that its lease is over.
+    // A holder that was suspended past the end of its lease must not send, or the orders of two holders would mix at
+    // one engine. `now` is read after the write, so such a holder sees that its lease is over.
     if (now >= this->own.leaseEnd) {
         return this->finish(OrderOutcome::LeaseLost);
     }
@@ -180,9 +180,9 @@
     return order_action::Wait{this->options.reportWait};
 }
 
-// An order that was taken may need longer than the lease to come into force: only the report is asked for again. One
-// whose reply was lost is sent again while the lease runs, with the same number and value, so a second arrival changes
-// nothing.
+// An accepted order may need longer than the lease to take effect, so only the reported state is read again. An order
+// whose reply was lost is sent again while the lease is valid, with the same number and value, so a second delivery
+// changes nothing.
 OrderAction EngineOrdering::onReportWait(Instant now)
 {
     if (!this->accepted) {
--- a/promise/engineordering.h
+++ b/promise/engineordering.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One order to one engine, from the wish to the engine's report that it is so.
+// One order to one engine, from the desired state until the engine reports it.
 //
 //     EngineOrdering ordering(request, options);
 //     OrderAction action = ordering.on(order_event::Start{}, sharedNow());
@@ -8,8 +8,8 @@
 //         action = ordering.on(perform(action), sharedNow());
 //     }
 //
-// Orders are level-triggered: whoever owns the engine compares desired with reported state again and again and starts
-// one of these where they differ, so that what a late order did is repaired. Time is shared time.
+// Orders are level-triggered: the owner of the engine periodically compares the desired with the reported state and
+// starts an EngineOrdering where they differ, which also repairs the effect of a late order. Time is shared time.
 
 #include "fescuesill/ids.h"
 #include "promise/orderrecord.h"
@@ -36,7 +36,7 @@
 };
 struct Accepted {
 };
-// The engine has seen a higher number.
+// The engine has seen a higher fencing number.
 struct Stale {
     FencingNumber seen;
 };
@@ -58,11 +58,11 @@
 
 enum class OrderOutcome {
     InForce, // the engine reports the value
-    HeldByOther, // another host's lease runs; it orders
+    HeldByOther, // another host holds the lease and gives the orders
     LeaseLost, // this host's lease ended before the engine reported the value
     StoreUnavailable,
     EngineUnavailable,
-    Malformed, // the row does not parse
+    Malformed, // the row cannot be parsed
 };
 
 namespace order_action
@@ -79,7 +79,7 @@
     FencingNumber fencing;
     Instant sendBy;
 };
-// Ask the engine for its state of this kind. Feed back Reported or ReportFailed.
+// Read the engine's state of this kind. Feed back Reported or ReportFailed.
 struct ReadReported {
 };
 struct Wait {
@@ -97,18 +97,18 @@
 {
 public:
     struct Options {
-        // Loading a model takes tens of seconds, but the order itself is one short call.
+        // Covers one short call. Loading a model takes tens of seconds, but needs no lease.
         Duration lease{10s};
-        // The most that two hosts' clocks differ, and the most that an order is under way.
+        // Upper bound of the difference between two hosts' clocks and of the time that an order is in transit.
         Duration clockMargin{1s};
         int tableTries = 4;
-        int reports = 30; // with reportWait, how long an engine may take to change
+        int reports = 30; // with reportWait, bounds how long an engine may take to change
         Duration reportWait{1s};
     };
 
     EngineOrdering(OrderRequest request, Options options);
 
-    // An event that does not answer the last action throws std::logic_error.
+    // Throws std::logic_error on an event that does not match the last action.
     OrderAction on(const OrderEvent &event, Instant now);
 
 private:
--- a/promise/eventrelay.cpp
+++ b/promise/eventrelay.cpp
@@ -1,5 +1,5 @@
-// An event ends with a blank line. Only the bytes up to the last blank line are handed on, unchanged; ids are read from
-// them, so the last id is always that of an event which the caller has been given whole.
+// An event ends with a blank line. Only the bytes up to the last blank line are relayed, unchanged. Ids are read from
+// these bytes, so the last id always belongs to an event that was relayed completely.
 
 #include "promise/eventrelay.h"
 
@@ -36,7 +36,7 @@
 
 void EventRelay::recordEvents(std::string_view events)
 {
-    bool isBlank = false; // the line before was one
+    bool isBlank = false; // of the previous line
     while (!events.empty()) {
         const std::size_t end = events.find('\n');
         const std::string_view line = trimmed(events.substr(0, end));
--- a/promise/eventrelay.h
+++ b/promise/eventrelay.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// Hands on a stream of events in whole events only, and remembers which was the last.
+// Relays a stream of server-sent events in whole events only, and remembers the id of the last one.
 //
 //     EventRelay relay;
-//     reply.write(relay.take(bytes));            // the whole events among what has come so far
-//     relay.lastEvent();                         // "12": where another engine may go on
-//     relay.rest();                              // bytes of an event whose end has not come
+//     reply.write(relay.take(bytes));            // the events that are complete so far
+//     relay.lastEvent();                         // "12": where another engine may continue
+//     relay.rest();                              // the bytes of an incomplete event
 //
-// Failure: an engine stops in the middle of an event. Shown to the caller as it is, the half event would be joined with
-// the first one of the engine that goes on, and the caller would read one event that nobody made.
+// An engine may stop in the middle of an event. If the partial event were relayed, the caller would parse it together
+// with the first event of the engine that continues, as one corrupt event.
 
 #include "fescuesill/units.h"
 
@@ -21,11 +21,11 @@
 class EventRelay
 {
 public:
-    // An event without an end is handed on no more than this long; larger ones are a fault of the engine.
+    // The maximum size of an incomplete event. A larger one is a fault of the engine.
     static constexpr Bytes maxPending{1 << 20};
 
     std::string take(std::string_view bytes);
-    // The engine that made the pending bytes has ended; another one starts with a whole event.
+    // Discards the incomplete event of an engine that stopped; the next engine starts with a whole event.
     void dropRest()
     {
         this->pending.clear();
@@ -34,12 +34,12 @@
     {
         return this->pending;
     }
-    // How many the last take() gave.
+    // The number of events that the last take() returned.
     std::int64_t wholeEvents() const
     {
         return this->eventCount;
     }
-    // Empty before the first.
+    // The id of the last event; empty before the first.
     const std::string &lastEvent() const
     {
         return this->lastId;
--- a/promise/factboard.cpp
+++ b/promise/factboard.cpp
@@ -2,9 +2,9 @@
 
 #include <algorithm>
 
-// A fact is kept for as long as there is room: hosts that were cut off get all of them in turn when they come back.
-// Where there is none, the fact that has not changed for longest goes, which is that of a cell that nobody owns any
-// more.
+// A fact is kept as long as there is room, so that hosts that were partitioned receive all facts round robin when they
+// reconnect. When the board is full, the fact that has been unchanged for the longest time is evicted: usually that of
+// a cell that no longer has an owner.
 
 namespace fescuesill
 {
@@ -90,7 +90,7 @@
 
 void FactBoard::evictOldest()
 {
-    // An urgent fact is never the oldest: a declaration that has stood for months is still the one in force.
+    // Urgent facts are evicted last: a declaration that has been unchanged for months is still in force.
     const auto oldest = std::min_element(this->entries.begin(), this->entries.end(), [](const auto &a, const auto &b) {
         return std::make_pair(a.second.fact.urgent, a.second.since)
             < std::make_pair(b.second.fact.urgent, b.second.since);
--- a/promise/factboard.h
+++ b/promise/factboard.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The newest version of each fact, how often it was passed on, and whose turn it is to be passed on again.
+// Holds the newest version of each fact, how often it was sent, and which fact is sent next in round-robin order.
 //
 //     FactBoard board({});
 //     board.apply(Fact{"cell/motor-7b/athens", 17, bytes}, now);     // ignored unless the version is higher
@@ -21,10 +21,10 @@
 {
 public:
     struct Options {
-        // One per cell and a few for the configuration; the one that has not changed for longest goes first.
+        // One per cell and a few for the configuration. The one unchanged for the longest time is evicted first.
         std::size_t maxFacts = 512;
         Bytes maxFactBytes{128};
-        // Urgent ones ride on every message of 300 bytes; a peer that calls all urgent must not fill them.
+        // Every message of 300 bytes carries all urgent facts, so a peer that marks many as urgent must not fill it.
         std::size_t maxUrgent = 2;
     };
     struct Entry {
@@ -35,12 +35,12 @@
 
     explicit FactBoard(Options options);
 
-    // Whether it was newer than the one held.
+    // Returns whether the fact was stored, which it is only if it is newer than the one held.
     bool apply(const Fact &fact, Instant now);
     std::vector<Fact> urgent() const;
-    // Those that were passed on fewer times than the limit; the urgent ones left out.
+    // The facts that were sent fewer times than the limit, without the urgent ones.
     std::vector<Entry *> gossip(int limit);
-    // The next one round, where it has room; nullptr otherwise.
+    // The next fact in round-robin order; nullptr if it does not fit into the room or there is none.
     const Fact *nextRoundRobin(std::size_t room);
 
     std::vector<Fact> all() const;
--- a/promise/keyring.cpp
+++ b/promise/keyring.cpp
@@ -4,8 +4,9 @@
 
 #include <algorithm>
 
-// An id is the first four bytes of a code that the key makes of a fixed text. Two keys of one file that share an id,
-// which happens once in four thousand million, are refused as if they were equal: another one is quickly made.
+// A key id is the first four bytes of the key's MAC over a fixed text. Two different keys of one file share an id with
+// a probability of one in four thousand million. They are refused as if they were equal, and the operator generates
+// another one.
 
 namespace fescuesill
 {
--- a/promise/leadership.cpp
+++ b/promise/leadership.cpp
@@ -1,11 +1,11 @@
-// The holder renews by writing the row again under the condition that nobody else has. Another host takes the lease
-// only after it has itself watched one version of the row stand still for a whole lease and a margin; it needs no clock
-// of the holder's. The holder counts its lease from before it sent the renewal, so it stops believing in it before
-// anybody can take it. Since every write is conditional, two takers cannot both succeed.
+// The holder renews the lease with a compare-and-set on the row. Another host claims the lease only after it has itself
+// observed one version of the row unchanged for a whole lease and a margin, so it does not depend on the holder's
+// clock. The holder counts its lease from before it sent the renewal, so for the holder the lease ends before any other
+// host can claim it. Since every write is conditional, two claims cannot both succeed.
 //
-// A write whose reply was lost may have been done, or may be done seconds later if its condition still holds. The row
-// is read back and decides: where it names this host, the renewal counts only from that read's doubt on, that is not at
-// all until the next accepted write.
+// A write whose reply was lost may have taken effect, or may take effect seconds later if its condition still holds.
+// The row is read back and decides. Even when it names this host, such a renewal does not extend the lease; only the
+// next accepted write does.
 
 #include "promise/leadership.h"
 
@@ -47,8 +47,8 @@
     return this->row && this->row->isSameHolder(this->self);
 }
 
-// The next look stays where it was: a leader that can be reached and has ended its lead would else be looked up again
-// at once, many times a second.
+// Does not change the time of the next poll. Otherwise the row would be read many times a second while a leader is
+// reachable that has given up the lease.
 void Leadership::onLeaderSeen(bool seen)
 {
     this->isSeen = seen;
@@ -115,7 +115,7 @@
         this->changed = now;
     }
     if (version != this->rowVersion) {
-        this->held.reset(); // somebody else wrote
+        this->held.reset(); // another host wrote the row
     }
     this->row = read;
     this->rowVersion = version;
--- a/promise/leadership.h
+++ b/promise/leadership.h
@@ -1,13 +1,14 @@
 #pragma once
 
-// One lease in the platform's table: which of our hosts leads, and whether this one may act as the leader.
+// One lease in the platform's table: which host is the leader, and whether this host may act as the leader.
 //
 //     Leadership leadership({HostId("athens-a"), "10.30.2.2:7660"}, options);
 //     LeadershipAction action = leadership.next(now);     // ReadLease, WriteLease or WaitUntil
 //     leadership.onRead(row, version, now);               // or onWritten(version, sentAt), onFailed(now)
 //     if (leadership.isLeading(now)) { ... }
 //
-// Time is that of a clock which counts suspension: a host that was frozen must find its lease over when it wakes.
+// Times are of a clock that includes suspension, so that a host that resumes after a suspension sees that its lease is
+// over.
 
 #include "fescuesill/ids.h"
 #include "fescuesill/units.h"
@@ -21,7 +22,7 @@
 {
 
 struct LeaseRow {
-    HostId host; // empty: the last holder gave it back
+    HostId host; // empty: the last holder released the lease
     std::string address; // IP:PORT of its links
     std::int64_t renewals = 0;
 
@@ -43,7 +44,7 @@
 {
 struct ReadLease {
 };
-// Compare-and-set on the version; 0: the row is not there.
+// Compare-and-set on the version; 0: the row does not exist.
 struct WriteLease {
     LeaseRow row;
     RowVersion expected;
@@ -60,48 +61,50 @@
 {
 public:
     struct Options {
-        // From the last renewal that others can have seen until another host may lead. The platform bounds how soon
-        // two holders may follow each other.
+        // The time from the last renewal that others can have seen until another host may lead. The platform sets a
+        // lower bound for the time between two holders.
         Duration lease{3s};
-        // How often the leader renews: two renewals may fail before the lease is in danger.
+        // The interval of the leader's renewals. Two renewals may fail before the lease can expire.
         Duration renew{1s};
-        // How often a host that has lost sight of the leader reads the row, at most.
+        // The maximum interval at which a host that has no connection to the leader reads the row.
         Duration pollInterval{500ms};
-        // The first look after the row changed comes this soon, each further one after twice the time, up to the above.
-        // Where all hosts start at once, most find the row of the last term and reach its holder some milliseconds
-        // before it holds the lease again; until they look once more each places alone, on engines that all of them
-        // take to be empty. Half a second of that overfilled engines for the next five.
+        // The delay of the first read after the row changed. Each further delay is twice as long, up to pollInterval.
+        // When all hosts start at once, most read the row of the last term and connect to its holder some milliseconds
+        // before it holds the lease again. Until the next read each host places alone, and all of them take the same
+        // engines to be empty. Half a second of this left engines overloaded for the next five seconds.
         Duration firstPollDelay{60ms};
-        // What the clocks of two hosts may differ over one lease.
+        // The maximum drift between the clocks of two hosts over one lease.
         Duration margin{200ms};
     };
 
     Leadership(LeaseRow self, Options options);
 
-    // This host hears from the leader, or has lost sight of it.
+    // Whether this host currently has a connection to the leader.
     void onLeaderSeen(bool isSeen);
-    // This host stops: it gives the lease back, so that another need not wait for its end, and takes none again.
+    // This host stops: it releases the lease, so that another host need not wait for its end, and never claims it
+    // again.
     void release();
     LeadershipAction next(Instant now) const;
-    // The row, or none where there is none.
+    // The row that was read, or none if it does not exist.
     void onRead(const std::optional<LeaseRow> &row, RowVersion version, Instant now);
-    // The write was accepted. `sent`: before it left, since others count the lease from then at the latest.
+    // The write was accepted. `sent` is a time before the write was sent, since others may count the lease from then.
     void onWritten(RowVersion version, Instant sent);
-    // No reply, or none that says whether the write was done.
+    // There was no reply, or none that states whether the write took effect.
     void onFailed(Instant now);
 
-    // Whether this host holds the lease for sure. Checked right before each act of a leader.
+    // Whether this host certainly holds the lease. Checked right before each action that only the leader may take.
     bool isLeading(Instant now) const;
-    // Until when this host may give orders, and none before it may. A holder begins only a whole lease after it took
-    // the lease from another: an endpoint must not hear two holders within one.
+    // Until when this host may give orders; none while it may not. A new holder starts only a whole lease after it
+    // claimed the lease, so that an endpoint never receives orders of two holders within one lease.
     std::optional<Instant> ordersUntil(Instant now) const;
-    // Whether this host was the last to hold the lease as far as it knows. Enough for what costs only quality where two
-    // hosts do it at once: a leader that is cut off from the table goes on with it for all hosts that still reach it.
+    // Whether this host, as far as it knows, was the last holder of the lease. This is enough for actions that only
+    // lose quality when two hosts perform them at once: a leader without a connection to the table continues them for
+    // all hosts that still reach it.
     bool isLastHolder() const
     {
         return this->hasHeld && this->isOwnRow();
     }
-    // The last holder that was read; none before the first read or where there is no row.
+    // The row as last read or written; none before the first read or when there is no row.
     const std::optional<LeaseRow> &holder() const
     {
         return this->row;
@@ -119,15 +122,15 @@
     Options options;
     std::optional<LeaseRow> row;
     RowVersion rowVersion;
-    bool isRead = false; // since the start or the last doubt
+    bool isRead = false; // since the start or the last failure
     bool isSeen = false;
     bool hasHeld = false; // since the start
     bool isReleasing = false;
     Instant taken; // when this term began
-    Instant changed; // when the version was first seen here
-    std::optional<Instant> held; // the send of the last accepted renewal
+    Instant changed; // when this host first saw the current version
+    std::optional<Instant> held; // when the last accepted renewal was sent
     Instant nextPoll;
-    Duration pollDelay; // after the one before
+    Duration pollDelay; // between the last poll and the next
 };
 
 } // namespace fescuesill
--- a/promise/linkauth.cpp
+++ b/promise/linkauth.cpp
@@ -2,26 +2,26 @@
 
 #include "promise/bytefields.h"
 
-// Opening, three messages:
+// The opening consists of three messages:
 //
 //     initiator → acceptor   opening    kind, key id, nonce, own host, address dialled
-//     acceptor → initiator   challenge  kind, nonce, own host, code("acceptor", opening, challenge so far)
-//     initiator → acceptor   proof      kind, code("initiator", opening, challenge)
+//     acceptor → initiator   challenge  kind, nonce, own host, MAC("acceptor", opening, challenge so far)
+//     initiator → acceptor   proof      kind, MAC("initiator", opening, challenge)
 //
-// Each end's code covers the other's fresh nonce, so an old opening played again proves nothing; the key id, both names
-// and the address, so none of them can be exchanged; and the direction, so that what an end said is no answer to it.
-// After that a key for each direction is made of the same texts. A message carries a code over its number in its
-// direction and its bytes. The number is counted at both ends and not sent: a message that was changed, left out,
-// repeated, taken from another link or sent back fails, and the link ends.
+// Each end's MAC covers the other's fresh nonce, so that a replayed opening proves nothing; the key id, both names and
+// the address, so that none of them can be substituted; and the direction, so that a message reflected to its sender
+// fails. After the opening, a key for each direction is derived from the same texts. Each message carries a MAC over
+// its sequence number in its direction and its bytes. The sequence number is counted at both ends and not sent: a
+// message that is changed, dropped, repeated, reflected or taken from another link fails, and the link ends.
 //
-// Failure: an attacker without the key passes the opening of a host on to another listener, or back to the same host,
-// and lets it answer. It shows as a link to somebody else than was dialled. The acceptor answers only an opening that
-// names its own address.
+// An attacker without the key could forward a host's opening to another listener, or back to the same host, and let it
+// answer, so that the host is linked to a different listener than it dialled. Therefore the acceptor answers only an
+// opening that names its own address.
 //
-// The key is the one that the initiator signs with; the acceptor needs to accept it, as for probes. So a fleet rotates
-// in three rounds with any two neighbouring rounds side by side.
+// The key is the one that the initiator signs with, and the acceptor has to accept it, as for probes. A fleet therefore
+// rotates its key in three rounds, and hosts of two neighbouring rounds can communicate.
 //
-// After a fault nothing is taken or sealed again.
+// After a fault no message is accepted or sealed.
 
 namespace fescuesill
 {
--- a/promise/linkauth.h
+++ b/promise/linkauth.h
@@ -1,19 +1,19 @@
 #pragma once
 
-// Proves to both ends of a link that the other holds the fleet key, and seals each message after that.
+// Mutual authentication of the two ends of a link by the fleet key, and authentication of each message after that.
 //
 //     LinkAuth mine = LinkAuth::initiate(linkKeys, {HostId("athens-a"), "10.30.2.2:8090"}, nonce);
 //     send(mine.opening());
-//     ... for each message that comes ...
+//     ... for each message received ...
 //     if (!mine.isProven()) {
-//         const auto reply = mine.on(bytes);           // a LinkFault: end the link; a reply that is not empty: send it
+//         const auto reply = mine.on(bytes);           // on a LinkFault end the link; send a reply that is not empty
 //     } else {
-//         const auto payload = mine.open(bytes);       // a LinkFault: end the link
+//         const auto payload = mine.open(bytes);       // on a LinkFault end the link
 //     }
 //     send(mine.seal(payload));                        // once proven
 //
-// The other end: LinkAuth::accept(linkKeys, {HostId("piraeus-a"), "10.30.2.2:8090"}, nonce), which waits for the
-// opening. Nonces are given: fresh random bytes in a program, fixed ones in a test.
+// The other end uses LinkAuth::accept(linkKeys, {HostId("piraeus-a"), "10.30.2.2:8090"}, nonce), which waits for the
+// opening. The caller supplies the nonces: fresh random bytes in a program, fixed ones in a test.
 
 #include "fescuesill/ids.h"
 #include "promise/keyring.h"
@@ -29,16 +29,16 @@
 enum class LinkFault {
     Malformed, // not a message of the opening
     UnknownKey,
-    WrongAddress, // meant for another listener
+    WrongAddress, // intended for another listener
     WrongProof,
-    WrongMessage, // changed, repeated, left out or out of order
-    Ended, // an earlier fault has ended this link
+    WrongMessage, // changed, repeated, dropped or out of order
+    Ended, // the link has ended after an earlier fault
 };
 
 const char *faultName(LinkFault fault);
 
-// A link's name for itself and the address of its listener: of the initiator, the one it dialled; of the acceptor, the
-// one it listens on.
+// An end's own host name and the address of the listener: the one that the initiator dialled, or that the acceptor
+// listens on.
 struct LinkEnd {
     HostId host;
     std::string address;
@@ -47,12 +47,12 @@
 class LinkAuth
 {
 public:
-    // An opening message is never longer; bounds the work and memory for a peer that has proved nothing.
+    // Bounds the work and memory spent on a peer that is not authenticated yet.
     static constexpr std::size_t maxOpeningBytes = 600;
-    // What a message grows by.
+    // The number of bytes that sealing adds to a message.
     static constexpr std::size_t addedBytes = MacKey::macBytes;
 
-    // The ring to pass in, made once of the fleet's.
+    // The key ring to pass in, derived once from that of the fleet.
     static KeyRing linkKeys(const KeyRing &fleet);
 
     static LinkAuth initiate(const KeyRing &keys, LinkEnd self, const LinkNonce &nonce);
@@ -60,11 +60,11 @@
 
     // The initiator's first message.
     const std::string &opening() const;
-    // The reply to a message of the opening; empty where none is due.
+    // The reply to a message of the opening; empty if none is needed.
     tl::expected<std::string, LinkFault> on(std::string_view message);
 
     bool isProven() const;
-    // As the other end calls itself; believe it only once proven.
+    // The name that the other end states for itself; trustworthy only once isProven().
     const HostId &peer() const;
 
     std::string seal(std::string_view payload);
@@ -91,9 +91,9 @@
     LinkEnd self;
     std::string nonce;
     State state;
-    std::string openingMessage; // the opening message
-    std::string transcript; // the opening message and what the acceptor answered with
-    std::string proof; // the acceptor's
+    std::string openingMessage;
+    std::string transcript; // the opening message and the acceptor's challenge
+    std::string proof; // of the acceptor
     HostId peerHost;
     std::optional<MacKey> agreedKey;
     std::optional<MacKey> sendKey;
--- a/promise/linkuse.cpp
+++ b/promise/linkuse.cpp
@@ -2,13 +2,14 @@
 
 #include <algorithm>
 
-// A link costs its heartbeat, so at 48 cells links that are always open cost an entry several times what it may spend
-// on control, and an owner that every entry is linked to many times that. An entry uses a few cells at a time.
+// An open link costs its heartbeats. At 48 cells, links that are always open would cost an entry several times its
+// budget for control traffic, and an owner that every entry is linked to many times its budget. An entry uses only a
+// few cells at a time.
 //
-// Weighed: stretched heartbeats on links that stay open. Then a request may meet a connection that went silent long
-// ago, and is late by the time that this takes to be found. A link that is closed soon after its last use has either a
-// heartbeat as short as ever or no connection at all: the next request opens a new one, which is what a silent
-// connection needs in any case. It costs that request one connection's set-up, a few milliseconds.
+// Rejected: longer heartbeat intervals on links that stay open. A request could then use a connection that has been
+// broken for a long time, and would be delayed until this is detected. A link that is closed soon after its last use
+// either has the short heartbeat interval or no connection at all, and the next request opens a new one. This costs
+// that request one connection set-up, a few milliseconds.
 
 namespace fescuesill
 {
@@ -28,8 +29,8 @@
         this->queued = 1;
         return Way::Open;
     case State::Opening:
-        // Failure: the owner hangs and every request of a burst is kept for it. It shows as memory that grows. What
-        // comes past the bound is placed without the owner, when the limit has passed.
+        // If the owner hangs, the messages of a burst would accumulate without bound. Requests beyond the bound are
+        // placed without the owner once openLimit has passed.
         if (this->queued >= this->options.maxQueued) {
             return Way::Drop;
         }
@@ -67,8 +68,8 @@
         this->queued = 0;
         return Step::GiveUp;
     }
-    // Failure: a request waits in the owner's queue and says nothing meanwhile. Closed under it, the link would drop it
-    // from that queue. It shows as requests placed twice, the second time without the owner.
+    // A request waiting in the owner's queue sends no messages. Closing the link would remove it from that queue, and
+    // it would be placed a second time without the owner.
     if (inUse) {
         this->lastUse = now;
         return Step::None;
--- a/promise/linkuse.h
+++ b/promise/linkuse.h
@@ -1,13 +1,13 @@
 #pragma once
 
-// When a link of an entry to the owner of cells is open: from the first message for it until nothing has been said for
-// a while and nothing is asked or held there.
+// Decides when an entry's link to a cell owner is open: from the first message until the link has been idle for a while
+// and no request waits or runs there.
 //
 //     LinkUse use(options);
 //     switch (use.onMessage(now)) { case Way::Open: connect(); queue(m); ... case Way::Send: ... }
 //     use.onOpened(now); use.onClosed(now);
-//     switch (use.tick(isInUse, now)) { case Step::Close: disconnect(); ... case Step::GiveUp: tell who waits ... }
-//     use.isOffered();                     // whether new requests may be given to this owner
+//     switch (use.tick(isInUse, now)) { case Step::Close: disconnect(); ... case Step::GiveUp: notify waiters ... }
+//     use.isOffered();                     // whether new requests may be sent to this owner
 
 #include "fescuesill/units.h"
 
@@ -20,25 +20,25 @@
 {
 public:
     struct Options {
-        // An open link costs two messages a second for its heartbeat. Shorter than what a half-open connection needs to
-        // be found, so that no request meets one that was silent for longer than a link in use could be.
+        // An open link costs two heartbeat messages a second. Shorter than the detection of a half-open connection, so
+        // that no request uses a connection that has been silent for longer than one in use could be.
         Duration idle{4s};
-        // A connection to a live host takes a few milliseconds, with a lost packet a second. A request that waits
-        // longer is placed without the owner.
+        // A connection to a live host takes a few milliseconds, or a second if a packet is lost. A request that would
+        // wait longer than this is placed without the owner.
         Duration openLimit{500ms};
-        // Messages that wait for the link to open: what an entry starts in openLimit at its peak, many times over.
+        // Messages that wait for the link to open. Many times what an entry starts within openLimit at peak load.
         std::size_t maxQueued = 1024;
     };
     enum class Way {
         Open, // connect, and keep the message until it is open
         Queue, // keep the message
         Send,
-        Drop, // the owner is out of reach
+        Drop, // the owner is unreachable
     };
     enum class Step {
         None,
         Close,
-        GiveUp, // tell whoever waits that the owner is out of reach; connecting goes on
+        GiveUp, // notify waiting requests that the owner is unreachable; connection attempts continue
     };
 
     explicit LinkUse(Options options);
@@ -46,7 +46,7 @@
     Way onMessage(Instant now);
     void onOpened(Instant now);
     void onClosed();
-    // In use: a request for the owner's cells waits or runs here, or all links are kept for another reason.
+    // `inUse`: a request for the owner's cells waits or runs here, or all links are kept open for another reason.
     Step tick(bool inUse, Instant now);
 
     bool isOpen() const;
@@ -57,7 +57,7 @@
         Closed,
         Opening,
         Open,
-        Lost, // was tried in vain, or broke; is connected anew by itself
+        Lost, // could not be opened or broke; the connection is retried automatically
     };
 
     Options options;
--- a/promise/mackey.cpp
+++ b/promise/mackey.cpp
@@ -7,8 +7,8 @@
 #include <stdexcept>
 
 // Keying a context hashes the two pads of the key, which costs as much as a short message. It is done once, and each
-// signature copies the keyed context. A context that is reset and used again would be cheaper still, but not be safe
-// where threads share a key.
+// signature copies the keyed context. Resetting and reusing one context would be cheaper, but not safe when threads
+// share a key.
 
 namespace fescuesill
 {
@@ -28,7 +28,7 @@
 void require(bool isDone)
 {
     if (!isDone) {
-        throw std::runtime_error("the crypto library has no HMAC-SHA256");
+        throw std::runtime_error("the cryptographic library does not provide HMAC-SHA256");
     }
 }
 
@@ -77,7 +77,7 @@
 
 MacKey MacKey::derive(std::string_view purpose, std::string_view context) const
 {
-    const std::string_view end("\0", 1); // a purpose has no zero byte, so purpose and context can't be mistaken
+    const std::string_view end("\0", 1); // a purpose has no zero byte, so this separates it from the context
     return MacKey(this->digest({purpose, end, context}));
 }
 
--- a/promise/mackey.h
+++ b/promise/mackey.h
@@ -7,8 +7,8 @@
 //     const std::string mac = links.sign({header, payload});
 //     if (!links.check(mac, {header, payload})) { ... forged ... }
 //
-// The parts are signed one after the other without a mark between them: callers give parts whose lengths are fixed or
-// written in them.
+// The parts are signed as one concatenation without separators, so callers pass parts whose lengths are fixed or
+// encoded in them.
 
 #include <initializer_list>
 #include <memory>
@@ -23,7 +23,7 @@
 class MacKey
 {
 public:
-    // Of a code: half of the hash, the least that RFC 2104 gives; 2^-128 is no chance.
+    // MACs are truncated to half of the hash, the minimum that RFC 2104 recommends. A guess succeeds with 2^-128.
     static constexpr std::size_t macBytes = 16;
 
     explicit MacKey(std::string_view secret);
@@ -31,13 +31,13 @@
     std::string sign(std::initializer_list<std::string_view> parts) const;
     // Compares in constant time.
     bool check(std::string_view mac, std::initializer_list<std::string_view> parts) const;
-    // A key for one purpose; what is signed with it is worth nothing under another one.
+    // A key for one purpose. What is signed with it is not valid for any other purpose.
     MacKey derive(std::string_view purpose, std::string_view context = {}) const;
 
 private:
     std::string digest(std::initializer_list<std::string_view> parts) const;
 
-    // Keyed once; each signature works on a copy, so that a key is used on any thread.
+    // Keyed once. Each signature works on a copy, so that a key can be used on any thread.
     std::shared_ptr<const evp_mac_ctx_st> keyed;
 };
 
--- a/promise/membership.cpp
+++ b/promise/membership.cpp
@@ -4,21 +4,22 @@
 #include <iterator>
 #include <utility>
 
-// After SWIM (Das, Gupta, Motivala 2002): each period one other host is probed, in shuffled rounds, so that every host
-// is probed once a period on average and the cost of one host does not grow with the fleet. No answer: others are asked
-// to probe for us, since our own link may be at fault; no answer to them either: the host is suspected, and dead when
-// it does not refute in time. What is new rides on these messages.
+// Follows SWIM (Das, Gupta, Motivala 2002): in each period one other host is probed, in shuffled rounds, so that every
+// host is probed once a period on average and the cost per host does not grow with the fleet. If the host does not
+// acknowledge, others are asked to probe it, since our own link may be at fault. If they get no reply either, the host
+// is suspected, and declared dead unless it refutes the suspicion in time. Updates are piggybacked on these messages.
 //
-// Two states of one host: the higher incarnation wins; within one incarnation the worse state wins, so that a suspicion
-// stands until the host itself, who alone raises its incarnation, refutes it.
+// Of two states of one host, the one with the higher incarnation wins. Within one incarnation the worse state wins, so
+// that a suspicion holds until the host itself refutes it: only the host raises its incarnation.
 //
-// The platform's list of hosts lags. It names hosts to probe and hosts that leave; it never makes one alive or dead.
+// The platform's list of hosts lags. It names hosts to probe and hosts that leave; it never marks a host alive or dead.
 //
-// Rumours go out a bounded number of times and may miss a host that was cut off meanwhile. So whatever room they leave
-// is filled with all facts and members in turn; a host that comes back has all of them within seconds.
+// Gossip is sent a bounded number of times and may miss a host that is partitioned meanwhile. The remaining room is
+// therefore filled with all facts and members round robin, so that a host that reconnects has all of them within
+// seconds.
 //
-// Rejected: heartbeats between all (340 x 339 a second); the table as a heartbeat board (340 writes a second, and the
-// store may be down when membership matters most).
+// Rejected: heartbeats between all hosts (340 x 339 a second); heartbeats in the table (340 writes a second, and the
+// store may be unavailable when membership matters most).
 
 namespace fescuesill
 {
@@ -68,7 +69,7 @@
             peer.info.state = MemberState::Alive;
             peer.info.incarnation = 0;
             peer.since = now;
-            peer.sent = this->timesToSend(); // hearsay of the platform is not passed on
+            peer.sent = this->timesToSend(); // the platform's list is not gossiped
         }
         peer.listed = true;
         peer.listedLeaving = leaving;
@@ -99,7 +100,7 @@
 {
     std::vector<ProbeMessage> out;
     if (in.to != this->me.host) {
-        return out; // an address that another host had before
+        return out; // this address belonged to another host before
     }
     for (const MemberInfo &info : in.members) {
         this->apply(info, now);
@@ -142,9 +143,9 @@
     this->hasUrgentUpdate = this->hasUrgentUpdate || (isNewer && fact.urgent);
 }
 
-// Failure: the table fails right after a change, and one probe a second with room for a few facts is all that tells the
-// others. It shows as hosts that work under the old text for minutes. A push is a probe to a random host that nobody
-// waits for: its answer brings that host's news back.
+// Without pushes, a change right before the table fails would spread only by one probe a second with room for a few
+// facts, and hosts would use the old configuration for minutes. A push is a probe to a random host whose reply is not
+// waited for; the reply carries that host's updates.
 void Membership::pushUrgent(std::vector<ProbeMessage> &out)
 {
     if (!this->hasUrgentUpdate || this->peers.empty()) {
@@ -287,8 +288,8 @@
     peer.sent = 0;
 }
 
-// Failure: this process was frozen and thaws. It shows as a host that at once suspects whom it had probed and buries
-// whom it had suspected, though it was itself that did not listen. What it waited for does not count.
+// After this process was suspended, timeouts that expired meanwhile do not count. Otherwise it would at once suspect
+// the host that it had probed and declare suspected hosts dead, although it was itself not receiving.
 void Membership::restartTimers(Instant now)
 {
     this->pending.reset();
@@ -368,8 +369,8 @@
     out.push_back(this->message(ProbeKind::Probe, *target, this->lastSequence));
 }
 
-// Rounds in shuffled order: every host is probed within two rounds, whatever the luck. The dead are probed too until
-// they are forgotten, so that the two sides of a healed cut find each other.
+// Probes the hosts in rounds of shuffled order, so that every host is probed within two rounds. Dead hosts are probed
+// too until they are removed, so that the two sides of a healed partition find each other.
 std::optional<HostId> Membership::nextTarget()
 {
     for (int round = 0; round < 2; ++round) {
--- a/promise/membership.h
+++ b/promise/membership.h
@@ -1,17 +1,17 @@
 #pragma once
 
-// Which hosts are live, and small facts that spread with it (SWIM: random probes, suspicion, piggy-backed deltas).
+// Tracks which hosts are live and spreads small facts (SWIM: random probes, suspicion, piggybacked deltas).
 //
 //     Membership membership(self, options, seed, now);
-//     membership.onHostList(platformHosts, now);                       // the platform's lagging list, when it comes
+//     membership.onHostList(platformHosts, now);                       // the platform's lagging list, when received
 //     for (const ProbeMessage &m : membership.tick(now)) { send(m); }   // every few tens of milliseconds
 //     for (const ProbeMessage &m : membership.onMessage(in, now)) { send(m); }
-//     membership.publish("cell/motor-7b/athens", version, bytes, now); // newest version spreads to all
-//     membership.publishUrgent("config", version, bytes, now);         // pushed on at once, by every host that hears
-//     it membership.facts(); membership.members(); membership.reach();
+//     membership.publish("cell/motor-7b/athens", version, bytes, now); // the newest version spreads to all hosts
+//     membership.publishUrgent("config", version, bytes, now);         // every host that receives it pushes it at once
+//     membership.facts(); membership.members(); membership.reach();
 //
-// Messages go to `to`; the address stands in the member. Start with an incarnation that grows over restarts (seconds of
-// the Unix epoch), so that a new process is believed over what is said of the old one.
+// Messages go to the host `to`, whose address is in its member. Start with an incarnation that increases over restarts
+// (seconds of the Unix epoch), so that the state of a new process overrides that of the old one.
 
 #include "fescuesill/ids.h"
 #include "fescuesill/units.h"
@@ -34,49 +34,51 @@
 {
 public:
     struct Options {
-        // One probe a period: in a fleet of 340 each host is then probed once a second on average.
+        // Each host sends one probe per period, so each host is also probed once a second on average in a fleet of 340.
         Duration period{1s};
-        // Within a period; the rest of it goes to indirect probes. Data centres are a few milliseconds apart.
+        // Must be shorter than a period; the rest is left for indirect probes. Data centres are a few milliseconds
+        // apart.
         Duration ackWait{300ms};
         int indirectProbes = 2;
-        // A suspected host has this long to refute: several times the spread of a rumour over 340 hosts.
+        // How long a suspected host has to refute the suspicion: several times what gossip takes to reach 340 hosts.
         Duration suspicion{4s};
-        // A dead host is forgotten after this long, so that a late rumour does not bring it back.
+        // A dead host is kept for this long before it is removed, so that late gossip does not add it again.
         Duration forget{60s};
-        // Deltas and facts in one message. A host sends and gets about four messages a second: under 2 KB/s in all.
+        // Deltas and facts in one message. A host sends and receives about four messages a second: under 2 KB/s in
+        // total.
         Bytes maxPiggyback{300};
-        // Every rumour is sent retransmit * log2(hosts) times by each host that hears it. Two cover one lost packet in
-        // two; what is missed all the same comes in turn, in the room that rumours leave.
+        // Each host that receives a gossip item sends it retransmit * log2(hosts) times. Two tolerate a loss of every
+        // second packet. Hosts that still miss it receive it round robin, in the room that gossip leaves.
         int retransmit = 2;
-        // Hosts that are told at once when an urgent fact turns newer. Each tells as many, so 340 hosts have it after
-        // some five hops; a few hundred changes a day cost nothing.
+        // Hosts that are probed at once when an urgent fact has a new version. Each of them does the same, so 340 hosts
+        // have it after some five hops. The cost of a few hundred changes a day is negligible.
         int urgentPushes = 3;
-        // The two-year fleet and a margin; more are ignored.
+        // The fleet size expected in two years and a margin; more are ignored.
         std::size_t maxMembers = 1024;
         FactBoard::Options facts;
-        // Probes that reach() counts: a cut shows after half as many periods.
+        // The number of latest probes that reach() counts. A partition is visible after half as many periods.
         std::size_t reachProbes = 8;
-        // Probes made for others at once; a host is asked for some two a period.
+        // Concurrent probes on behalf of others. A host is asked for about two a period.
         std::size_t maxRelays = 64;
     };
 
     Membership(MemberInfo self, const Options &options, std::uint64_t seed, Instant now);
 
-    // Seeds members that are not known, and marks hosts that the platform says are leaving.
+    // Adds members that are not known, and marks hosts that the platform lists as leaving.
     void onHostList(const std::vector<MemberInfo> &hosts, Instant now);
     std::vector<ProbeMessage> tick(Instant now);
     std::vector<ProbeMessage> onMessage(const ProbeMessage &message, Instant now);
     // Ignored where the version is not higher than the one held.
     void publish(const std::string &name, std::uint64_t version, std::string bytes, Instant now);
     void publishUrgent(const std::string &name, std::uint64_t version, std::string bytes, Instant now);
-    // Says to all that this host leaves. There is no way back but a new process.
+    // Announces to all hosts that this host leaves. Only a new process can join again.
     void leave();
 
     const MemberInfo &self() const;
     std::vector<MemberInfo> members() const;
-    // Where another host is reached; empty where it is not known.
+    // The address of another host; empty if the host is not known.
     std::string addressOf(const HostId &host) const;
-    // Hosts of the data centre that can own cells: alive or only suspected, not leaving; this one included.
+    // Hosts of the data centre that can own cells, including this one: alive or suspected, not leaving.
     std::vector<HostId> owners(const DataCentreId &dataCentre) const;
     PeerReach reach() const;
     std::vector<Fact> facts() const;
@@ -85,8 +87,8 @@
     struct Peer {
         MemberInfo info;
         Instant since; // when the state was entered
-        int sent = 0; // times that this delta was passed on
-        bool reportedByHost = false; // some host said so; not only the platform's list
+        int sent = 0; // how often this delta was sent
+        bool reportedByHost = false; // by any host, not only by the platform's list
         bool listed = false; // in the platform's list as last read
         bool listedLeaving = false;
     };
@@ -96,7 +98,7 @@
         std::uint64_t sequence = 0;
         bool indirect = false;
     };
-    // A probe made for another host.
+    // A probe on behalf of another host.
     struct Relay {
         HostId requester;
         std::uint64_t requesterSequence = 0;
@@ -137,8 +139,8 @@
     Instant nextProbe;
     Instant lastTick;
     std::uint64_t lastSequence = 0;
-    bool hasUrgentUpdate = false; // not yet pushed on
-    HostId lastMemberSent; // the last member that was sent in turn
+    bool hasUrgentUpdate = false; // not yet pushed to other hosts
+    HostId lastMemberSent; // in round-robin order
 };
 
 } // namespace fescuesill
--- a/promise/membershipmessages.cpp
+++ b/promise/membershipmessages.cpp
@@ -2,9 +2,10 @@
 
 #include <algorithm>
 
-// What a message carries, in this order: the sender itself; what the receiver should know about itself; rumours, those
-// first that were passed on least; then everything in turn. The sum stays below maxPiggyback, so the traffic of a host
-// does not depend on the size of the fleet or on how much happens in it: news then only takes longer.
+// A message carries, in this order: the sender; the state of the receiver if it has to refute it; urgent facts; gossip,
+// the least often sent first; then all facts and members round robin. The total stays below maxPiggyback, so the
+// traffic of a host does not depend on the size of the fleet or the rate of changes: with many changes, updates take
+// longer.
 
 namespace fescuesill
 {
@@ -16,10 +17,10 @@
     message.from = this->me.host;
     message.to = to;
     message.sequence = sequence;
-    // Itself, so that a host not yet known is, and so that its refutation arrives with the answer.
+    // The sender, so that a new host becomes known and a refutation arrives with the reply.
     message.members.push_back(this->me);
-    // Failure: a host is suspected and never hears of it, so it cannot refute. It shows as a live host that is dropped.
-    // Whoever talks to it tells it.
+    // A suspected host has to learn of the suspicion to refute it, or a live host would be declared dead. Every message
+    // to it therefore carries its state.
     const auto peer = this->peers.find(to);
     if (peer != this->peers.end() && !isAliveOrLeaving(peer->second.info.state)) {
         message.members.push_back(peer->second.info);
@@ -52,7 +53,7 @@
     }
 }
 
-// What was passed on least goes first; members before facts.
+// Items that were sent the least often go first; members before facts.
 void Membership::fillGossip(ProbeMessage &message, std::size_t &room)
 {
     struct GossipItem {
@@ -87,7 +88,7 @@
     }
 }
 
-// Two facts, then a member, as long as there is room, each kind once round at most.
+// Adds two facts, then a member, and so on while there is room, each at most once.
 void Membership::fillRoundRobin(ProbeMessage &message, std::size_t &room)
 {
     const std::size_t turns = std::max(this->board.size(), this->peers.size());
@@ -104,7 +105,7 @@
     }
 }
 
-// False when the next one has no room.
+// Returns false if there is no member or the next one does not fit.
 bool Membership::fillMemberRoundRobin(ProbeMessage &message, std::size_t &room)
 {
     if (this->peers.empty()) {
--- a/promise/orderrecord.cpp
+++ b/promise/orderrecord.cpp
@@ -2,8 +2,8 @@
 
 #include <nlohmann/json.hpp>
 
-// The row of an engine's orders as JSON text. A row that does not parse is an error: without its number and lease no
-// order can be given safely.
+// The row of an engine's orders as JSON text. A row that cannot be parsed is an error: without its fencing number and
+// lease no order can be given safely.
 
 namespace fescuesill
 {
--- a/promise/orderrecord.h
+++ b/promise/orderrecord.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One row of the orders to engines, order/ENGINE, as JSON text.
+// The row order/ENGINE of the orders to an engine, as JSON text.
 //
 //     const auto record = decodeOrderRecord(row.value);
 //     if (record && now < record->leaseEnd) { ... record->holder may order ... }
--- a/promise/orphanfinder.cpp
+++ b/promise/orphanfinder.cpp
@@ -3,18 +3,18 @@
 #include <algorithm>
 #include <utility>
 
-// Failure: an entry dies, or forgets a stream, and the engine writes on for nobody and keeps the memory. It shows as
-// places that stay taken with no caller. The engine's own list is the truth about memory, so nothing that is forgotten
-// elsewhere can hide from it.
+// When an entry dies or loses track of a stream, the engine would keep generating without a reader, and the stream's
+// memory would stay allocated. The engine's own list of streams is authoritative for its memory, so it shows every
+// stream that is forgotten elsewhere.
 //
-// A stream is held while a live entry says so, or while it is attached by a live entry (which may be about to say so,
-// over a link that has just broken). "Attached" alone is no proof: an engine does not notice an entry that died without
-// closing its connection. A stream that has been unheld for the grace, as this owner itself saw it, is cancelled. The
-// owner counts from what it saw, not from the engine's idle time: a new owner so waits one whole grace, in which
-// entries say again what they hold.
+// A stream is held while a live entry reports it, or while it is attached by a live entry (which may be about to report
+// it, over a link that has just broken). "Attached" alone is not enough: an engine does not notice an entry that died
+// without closing its connection. A stream is cancelled once this owner has seen it unheld for the grace period. The
+// period counts from the owner's own observation, not from the engine's idle time, so a new owner waits for one whole
+// grace period, in which entries report again what they hold.
 //
-// Two owners at once cancel the same orphans, which is idempotent. An owner that an entry cannot reach would see that
-// entry's streams as attached by a live entry, and leave them.
+// Two owners at once cancel the same orphans, which is idempotent. An owner that an entry cannot reach sees that
+// entry's streams as attached by a live entry and does not cancel them.
 
 namespace fescuesill
 {
--- a/promise/orphanfinder.h
+++ b/promise/orphanfinder.h
@@ -1,14 +1,15 @@
 #pragma once
 
-// Which streams of a cell's engines belong to nobody any more.
+// Finds the streams of a cell's engines that no entry holds any more.
 //
 //     OrphanFinder finder(options, now);                    // when this scheduler becomes the owner of the cell
 //     finder.onEntries(liveEntries);                        // from membership
-//     finder.onHolding(entry, streams);                     // an entry says all that it holds, after each reconnect
+//     finder.onHolding(entry, streams);                     // all that an entry holds, reported after each reconnect
 //     finder.onHold(entry, stream); finder.onRelease(entry, stream);
-//     for (const StreamId &stream : finder.onStreams(engine, list, now)) { DELETE it for its line's entry }
+//     for (const StreamId &stream : finder.onStreams(engine, list, now)) { DELETE it for the entry in its line }
 //
-// A stream that the engine still lists is named again with its next list: cancelling goes on until the engine confirms.
+// A stream that the engine still lists is returned again for its next list: cancelling is repeated until the engine
+// confirms it.
 
 #include "fescuesill/ids.h"
 #include "fescuesill/units.h"
@@ -23,7 +24,7 @@
 // One line of GET /v1/streams.
 struct EngineStream {
     StreamId stream;
-    HostId entry; // the last that read it
+    HostId entry; // the last entry that read the stream
     bool attached = false;
 };
 
@@ -31,10 +32,10 @@
 {
 public:
     struct Options {
-        // How long a caller that lost its entry may take to come back elsewhere. Also how long a new owner waits for
-        // entries to say what they hold.
+        // How long a caller that lost its entry may take to resume at another one. Also how long a new owner waits for
+        // entries to report what they hold.
         Duration grace{15s};
-        // Streams of one cell: 600 engines with 20 places are far below.
+        // Unheld streams of one cell. 600 engines with 20 places each are far below this.
         std::size_t mostStreams = 20000;
     };
 
@@ -44,10 +45,10 @@
     void onHolding(const HostId &entry, std::set<StreamId> streams);
     void onHold(const HostId &entry, const StreamId &stream);
     void onRelease(const HostId &entry, const StreamId &stream);
-    // The link to the entry broke: what it held is not known until it says so again.
+    // The link to the entry broke: what it holds is unknown until it reports again.
     void onEntryLost(const HostId &entry);
 
-    // The streams of the list that are to be cancelled now.
+    // Returns the streams of the list that are to be cancelled now.
     std::vector<StreamId> onStreams(const EngineId &engine, const std::vector<EngineStream> &list, Instant now);
 
 private:
--- a/promise/placingroute.cpp
+++ b/promise/placingroute.cpp
@@ -1,11 +1,12 @@
-// A lease must run out before another host may lead, and a host that places alone sees a fraction of the load: it takes
-// full engines for empty ones. Placing needs no lease, since an engine never gives the same memory twice. So the leader
-// names a deputy ahead of need, and hosts that lose the leader turn to it at once. It knows what they have placed, for
-// each says so when it arrives.
+// The lease must expire before another host may lead, and a host that places alone sees only a fraction of the load and
+// takes full engines for empty ones. Placement needs no lease, since an engine never allocates the same memory twice.
+// So the leader names a deputy in advance, and hosts that lose the leader connect to it at once. The deputy knows what
+// they have placed, because each host reports this when it connects.
 //
-// The deputy refuses while it reaches the leader itself: then the leader places for most hosts, and two that place for
-// parts of the fleet would fill the same engines. Hosts do not find a leader lost at the same moment, so generations
-// wait a little for a deputy that refuses. It names a deputy of its own to the hosts that it places for.
+// The deputy refuses while it reaches the leader itself: the leader then places for most hosts, and two hosts that
+// place for parts of the fleet would fill the same engines. Hosts do not detect the loss of the leader at the same
+// moment, so generations wait for a short time for a deputy that refuses. The deputy names a deputy of its own to the
+// hosts that it places for.
 
 #include "promise/placingroute.h"
 
--- a/promise/placingroute.h
+++ b/promise/placingroute.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Which host places the generations of this one: the leader, its deputy, or this host alone.
+// Selects which host places the generations of this host: the leader, its deputy, or this host alone.
 //
 //     PlacingRoute route("10.1.0.20:7660", PlacingRoute::Options{});
 //     route.onDeputyNamed("10.1.0.21:7660");
@@ -21,17 +21,18 @@
     Alone,
     Leader,
     Deputy,
-    Waiting, // for the deputy; nothing is placed
+    Waiting, // for the deputy; nothing is placed meanwhile
 };
 
 class PlacingRoute
 {
 public:
     struct Options {
-        // After a deputy refused, which it does until it finds the leader lost itself, or could not be reached.
+        // The delay after a deputy refused or could not be reached. It refuses until it detects itself that the leader
+        // is lost.
         Duration retry{100ms};
-        // How long generations wait for a deputy before this host places them alone. Two hosts find the same leader
-        // lost within a heartbeat of each other.
+        // How long generations wait for a deputy before this host places them alone. Two hosts detect the loss of the
+        // same leader within one heartbeat of each other.
         Duration deputyWait{500ms};
     };
 
@@ -44,19 +45,19 @@
     void onLeading(bool isLeading);
     void onLeaderReached();
     void onLeaderLost(Instant now);
-    // By the leader, while it could be reached; empty: none.
+    // The leader named its deputy while it was reachable; empty: none.
     void onDeputyNamed(const std::string &address);
-    // By the deputy: who follows it if it is lost too.
+    // The deputy named the host that replaces it if it is lost too.
     void onNextDeputyNamed(const std::string &address);
-    // This host stops: it places for others no longer.
+    // This host stops and no longer places for others.
     void onStopping();
     void onDeputyReached();
     void onDeputyLost(Instant now);
 
     PlacingPath path(Instant now) const;
-    // Where a link to the deputy should be; none where none is needed now.
+    // The address of the deputy that this host should link to; none if no link is needed now.
     std::optional<std::string> wantedDeputy(Instant now) const;
-    // This host is the deputy and the leader is lost: it places for the hosts that ask it.
+    // Whether this host is the deputy and the leader is lost, so that it places for the hosts that request it.
     bool isActingLeader() const;
 
 private:
--- a/promise/probemessage.cpp
+++ b/promise/probemessage.cpp
@@ -1,13 +1,13 @@
 #include "promise/probemessage.h"
 
-// The sizes are estimates for the budget: text lengths and a fixed frame for what CBOR puts around the members.
+// The sizes are estimates for the traffic budget: the lengths of the texts and a fixed overhead for the CBOR encoding.
 
 namespace fescuesill
 {
 namespace
 {
 
-// Lengths and small numbers around the texts of one element.
+// The lengths and small numbers that are encoded with the texts of one element.
 constexpr std::size_t memberFrame = 15;
 constexpr std::size_t factFrame = 12;
 constexpr std::size_t messageFrame = 19;
--- a/promise/probemessage.h
+++ b/promise/probemessage.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What hosts say to each other about hosts, and small facts that ride along.
+// The messages by which hosts exchange the state of hosts, with small facts piggybacked.
 //
 //     const std::size_t bytes = sizeOf(message);
 
@@ -27,42 +27,42 @@
     DataCentreId dataCentre;
     std::string address;
     MemberState state = MemberState::Alive;
-    // Raised only by the host itself, to refute a suspicion or to say that it leaves.
+    // Raised only by the host itself, to refute a suspicion or to announce that it leaves.
     std::uint64_t incarnation = 0;
 };
 
-// A small value under a name that spreads to every host; the highest version wins.
+// A small named value that spreads to every host; the highest version wins.
 struct Fact {
     std::string name;
     std::uint64_t version = 0;
     std::string bytes;
-    // Rides on every message and is pushed on at once. For the version of the declaration alone: each takes its bytes
-    // from everything else.
+    // Sent with every message and pushed at once. Only for the version of the declaration: each urgent fact reduces the
+    // room for everything else.
     bool urgent = false;
 };
 
 enum class ProbeKind {
     Probe,
     Ack,
-    IndirectProbe, // please probe `target` for me
-    IndirectAck, // `target` answered
+    IndirectProbe, // requests the receiver to probe `target`
+    IndirectAck, // `target` acknowledged
 };
 
 struct ProbeMessage {
     ProbeKind kind = ProbeKind::Probe;
     HostId from;
     HostId to;
-    HostId target; // with the indirect kinds
+    HostId target; // for the indirect kinds
     std::uint64_t sequence = 0;
     std::vector<MemberInfo> members;
     std::vector<Fact> facts;
-    // How long ago somebody whom the sender heard of read the configuration row (promise/tablereading.h).
+    // The age of the latest read of the configuration row that the sender knows of (promise/tablereading.h).
     std::optional<Duration> tableReadAge;
 };
 
-// Whether somebody hears the host: not suspected, not dead.
+// Neither suspected nor dead.
 bool isAliveOrLeaving(MemberState state);
-// Bytes on the wire, transport left out; within a few of what CBOR takes.
+// The approximate number of bytes in CBOR, without the transport's; accurate to a few bytes.
 std::size_t sizeOf(const MemberInfo &info);
 std::size_t sizeOf(const Fact &fact);
 std::size_t sizeOf(const ProbeMessage &message);
--- a/promise/streamprogress.cpp
+++ b/promise/streamprogress.cpp
@@ -3,17 +3,17 @@
 #include <algorithm>
 #include <xxhash.h>
 
-// An answer is whole when its fragments 0..length-1 were each taken once, in order, and the digest of their text is the
-// engine's. `next` only grows by one, so whatever arrives twice, late or from an older connection is dropped, and
-// whatever arrives early is a gap that is read again; nothing is kept aside.
+// An answer is complete when its fragments 0..length-1 were each accepted once, in order, and the digest of their text
+// equals the engine's. `next` only increases by one, so a fragment that arrives twice, late or on an older connection
+// is dropped. A fragment that arrives early is a gap, from which the stream is read again; nothing is buffered.
 //
-// A caller that comes back with N fragments is read from 0 again and handed only what it lacks: the digest covers the
-// whole text, and an entry that starts at N could not check it. The engine sends some kilobytes more; a second copy of
-// the hash state in every token was rejected.
+// For a caller that resumes with N fragments the stream is read from 0, and only the missing fragments are delivered:
+// the digest covers the whole text, and an entry that starts at N could not verify it. The engine sends some kilobytes
+// more. Rejected: a copy of the hash state in every resume token.
 //
-// Failure: something between the two ends forgets the connection, which goes silent for good while new ones work. It
-// shows as an answer that stops in the middle with no error. A stream that says nothing for `silence` is read again on
-// a new connection; a slow engine only costs the caller a reattach.
+// A middlebox between the two ends may drop the state of a connection, which then stays silent while new connections
+// work, and the answer would stop in the middle without an error. A stream that is silent for `silence` is therefore
+// read again on a new connection. For an engine that is merely slow this only costs a reattach.
 
 namespace fescuesill
 {
@@ -85,7 +85,8 @@
 
 void StreamProgress::onBroken(Instant now)
 {
-    // The first try at once, the next ones a silence apart: an engine that restarts is not asked in a tight loop.
+    // The first attempt is immediate, further ones are `silence` apart, so that a restarting engine is not polled in a
+    // tight loop.
     this->lastHeard = this->reattached == 0 ? now - this->options.silence : now;
 }
 
--- a/promise/streamprogress.h
+++ b/promise/streamprogress.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// The one reader of an answer: what of the engine's lines goes on to the caller, and when to read again.
+// Tracks the reading of one answer: which of the engine's lines are relayed to the caller, and when to read again.
 //
 //     StreamProgress progress(options, Offset(0), now);       // Offset(N): a caller that has N fragments already
-//     progress.onAttached(now);                               // the engine answered; it sends from progress.readFrom()
+//     progress.onAttached(now);                               // the engine replied; it sends from progress.readFrom()
 //     switch (progress.onFragment(offset, text, now)) { case FragmentVerdict::Deliver: ... }
 //     switch (progress.onEnd(length, digest)) { case EndVerdict::Whole: ... }
 //     switch (progress.check(now)) { case StreamCheck::Reattach: ... on a new connection ... }
@@ -24,29 +24,29 @@
 
 enum class FragmentVerdict {
     Deliver, // next in order and new to the caller
-    Drop, // a duplicate, or a part that the caller has already
-    Gap, // something before it is missing: read again
+    Drop, // a duplicate, or a fragment that the caller already has
+    Gap, // an earlier fragment is missing: read again
 };
 
 enum class EndVerdict {
     Whole, // length and digest agree: the answer is complete
     Short, // fragments are missing: read again
-    Corrupt, // the text is not what the engine says it wrote: the answer must not be called complete
+    Corrupt, // the text differs from what the engine states it wrote: the answer must not be reported as complete
 };
 
 enum class StreamCheck {
     Healthy,
     Reattach, // silent for too long: read again on a new connection
-    GaveUp, // no progress in spite of reading again
+    GaveUp, // no progress despite reading again
 };
 
 class StreamProgress
 {
 public:
     struct Options {
-        // A decode step takes some 20 to 70 ms; ten missed ones are a silent connection, not a slow engine.
+        // A decode step takes some 20 to 70 ms, so after ten missing ones the connection is assumed to be broken.
         Duration silence{1s};
-        // Attempts without any new fragment between them.
+        // Attempts without a new fragment in between.
         int reattaches = 5;
     };
 
@@ -60,14 +60,14 @@
     void onAttached(Instant now);
     FragmentVerdict onFragment(Offset offset, std::string_view text, Instant now);
     EndVerdict onEnd(Offset length, std::string_view digest);
-    // The connection broke; the caller of this reads again unless check() says GaveUp.
+    // The connection broke. The stream is to be read again unless check() returns GaveUp.
     void onBroken(Instant now);
-    // Also notes an attempt when it says Reattach.
+    // Also counts an attempt when it returns Reattach.
     StreamCheck check(Instant now);
 
-    // Where to read from. 0 at first also for a caller that resumes: only the whole text can be checked by its digest.
+    // The offset to read from. Starts at 0 even for a caller that resumes, since the digest covers the whole text.
     Offset readFrom() const;
-    // Fragments that the caller has.
+    // The number of fragments that the caller has.
     Offset delivered() const;
     bool isComplete() const;
 
@@ -85,7 +85,7 @@
     std::unique_ptr<XXH3_state_s, DigestDeleter> digest;
 };
 
-// The digest of a whole text as engines write it.
+// The digest of a whole text in the format that engines send.
 std::string textDigest(std::string_view text);
 
 } // namespace fescuesill
