--- a/promise/bytefields.cpp
+++ b/promise/bytefields.cpp
@@ -41,9 +41,9 @@
         this->isShort = true;
         return {};
     }
-    const std::string_view taken = this->bytes.substr(0, size);
+    const std::string_view field = this->bytes.substr(0, size);
     this->bytes.remove_prefix(size);
-    return taken;
+    return field;
 }
 
 bool FieldReader::fits() const
--- a/promise/leadership.cpp
+++ b/promise/leadership.cpp
@@ -56,16 +56,16 @@
 
 bool Leadership::isLeading(Instant now) const
 {
-    return this->held && now < *this->held + this->options.lease - this->options.margin;
+    return this->lastRenewal && now < *this->lastRenewal + this->options.lease - this->options.margin;
 }
 
 std::optional<Instant> Leadership::ordersUntil(Instant now) const
 {
-    const bool isSettled = now >= this->taken + this->options.lease + this->options.margin;
+    const bool isSettled = now >= this->termStart + this->options.lease + this->options.margin;
     if (!this->isLeading(now) || !isSettled || this->isReleasing) {
         return std::nullopt;
     }
-    return *this->held + this->options.lease - this->options.margin;
+    return *this->lastRenewal + this->options.lease - this->options.margin;
 }
 
 void Leadership::release()
@@ -76,7 +76,7 @@
 LeadershipAction Leadership::next(Instant now) const
 {
     if (this->isReleasing) {
-        if (this->held && this->isOwnRow()) {
+        if (this->lastRenewal && this->isOwnRow()) {
             return leadership_action::WriteLease{LeaseRow{HostId(), {}, this->row->renewals + 1}, this->rowVersion};
         }
         return leadership_action::WaitUntil{now + this->options.pollInterval};
@@ -85,8 +85,8 @@
         return now < this->nextPoll ? LeadershipAction(leadership_action::WaitUntil{this->nextPoll})
                                     : leadership_action::ReadLease{};
     }
-    if (this->held) {
-        const Instant due = *this->held + this->options.renew;
+    if (this->lastRenewal) {
+        const Instant due = *this->lastRenewal + this->options.renew;
         if (now < due) {
             return leadership_action::WaitUntil{due};
         }
@@ -95,11 +95,11 @@
         return leadership_action::WriteLease{renewed, this->rowVersion};
     }
     const bool isFree = !this->row || this->row->host.isEmpty() || this->isOwnRow()
-        || now >= this->changed + this->options.lease + this->options.margin;
+        || now >= this->changedAt + this->options.lease + this->options.margin;
     if (isFree && !this->isSeen) {
-        LeaseRow taken = this->self;
-        taken.renewals = this->row ? this->row->renewals + 1 : 1;
-        return leadership_action::WriteLease{taken, this->rowVersion};
+        LeaseRow claimed = this->self;
+        claimed.renewals = this->row ? this->row->renewals + 1 : 1;
+        return leadership_action::WriteLease{claimed, this->rowVersion};
     }
     if (this->isSeen) {
         return leadership_action::WaitUntil{now + this->options.pollInterval};
@@ -112,10 +112,10 @@
 {
     const bool isNew = !this->isRead || version != this->rowVersion;
     if (isNew) {
-        this->changed = now;
+        this->changedAt = now;
     }
     if (version != this->rowVersion) {
-        this->held.reset(); // another host wrote the row
+        this->lastRenewal.reset(); // another host wrote the row
     }
     this->row = read;
     this->rowVersion = version;
@@ -136,23 +136,23 @@
     if (this->isReleasing) {
         this->row = LeaseRow{HostId(), {}, renewals};
         this->rowVersion = version;
-        this->held.reset();
+        this->lastRenewal.reset();
         return;
     }
     this->row = this->self;
     this->row->renewals = renewals;
     this->rowVersion = version;
-    this->taken = this->held ? this->taken : sent;
-    this->held = sent;
-    this->hasHeld = true;
+    this->termStart = this->lastRenewal ? this->termStart : sent;
+    this->lastRenewal = sent;
+    this->hasHeldLease = true;
 }
 
 void Leadership::onFailed(Instant now)
 {
     this->isRead = false;
     this->nextPoll = now + this->options.pollInterval;
-    if (this->held && !this->isLeading(now)) {
-        this->held.reset();
+    if (this->lastRenewal && !this->isLeading(now)) {
+        this->lastRenewal.reset();
     }
 }
 
--- a/promise/leadership.h
+++ b/promise/leadership.h
@@ -102,7 +102,7 @@
     // all hosts that still reach it.
     bool isLastHolder() const
     {
-        return this->hasHeld && this->isOwnRow();
+        return this->hasHeldLease && this->isOwnRow();
     }
     // The row as last read or written; none before the first read or when there is no row.
     const std::optional<LeaseRow> &holder() const
@@ -124,11 +124,11 @@
     RowVersion rowVersion;
     bool isRead = false; // since the start or the last failure
     bool isSeen = false;
-    bool hasHeld = false; // since the start
+    bool hasHeldLease = false; // since the start
     bool isReleasing = false;
-    Instant taken; // when this term began
-    Instant changed; // when this host first saw the current version
-    std::optional<Instant> held; // when the last accepted renewal was sent
+    Instant termStart; // when this host claimed the lease
+    Instant changedAt; // when this host first saw the current version
+    std::optional<Instant> lastRenewal; // when the last accepted renewal was sent
     Instant nextPoll;
     Duration pollDelay; // between the last poll and the next
 };
--- a/promise/membership.cpp
+++ b/promise/membership.cpp
@@ -250,8 +250,8 @@
 void Membership::applySelf(const MemberInfo &info)
 {
     const bool isSuspected = !isAliveOrLeaving(info.state) && info.incarnation >= this->me.incarnation;
-    const bool isEarlierIncarnation = info.incarnation > this->me.incarnation;
-    if (isSuspected || isEarlierIncarnation) {
+    const bool isFromEarlierProcess = info.incarnation > this->me.incarnation;
+    if (isSuspected || isFromEarlierProcess) {
         this->me.incarnation = info.incarnation + 1;
     }
 }
--- a/promise/testing/datagramseal_test.cpp
+++ b/promise/testing/datagramseal_test.cpp
@@ -46,9 +46,9 @@
     std::optional<DatagramFault> expected;
 };
 
-// Keys are rotated while 340 hosts go on probing each other: a host of any round is heard by those of the rounds before
-// and after its own. A host with a key that is no longer, or never was, the fleet's is not heard.
-TEST(DatagramSeal, NeighbouringRoundsOfARotationHearEachOther)
+// Keys are rotated while 340 hosts continue to probe each other. Hosts of neighbouring rounds accept each other's
+// datagrams; those of a host with a retired or foreign key are refused.
+TEST(DatagramSeal, NeighbouringRoundsOfARotationAcceptEachOther)
 {
     const std::vector<KeysCase> cases{
         {"a", "a", std::nullopt},
@@ -59,7 +59,7 @@
         {"ba", "b", std::nullopt},
         {"b", "ba", std::nullopt},
         {"a", "b", DatagramFault::UnknownKey},
-        {"ba", "a", DatagramFault::UnknownKey}, // a round left out
+        {"ba", "a", DatagramFault::UnknownKey}, // a round was skipped
         {"c", "ab", DatagramFault::UnknownKey},
     };
     for (const KeysCase &c : cases) {
@@ -69,7 +69,7 @@
     }
 }
 
-TEST(DatagramSeal, RefusesWhatIsTooOldOrCutShort)
+TEST(DatagramSeal, RefusesStaleAndTruncatedDatagrams)
 {
     DatagramSeal sender(ringOf("a"), a);
     const DatagramSeal receiver(ringOf("a"), b);
@@ -91,9 +91,9 @@
     std::optional<DatagramFault> expected;
 };
 
-// An attacker in the middle records datagrams and sends them again: to the same host, to another one, or back to where
-// they came from. Each is taken once, by the host it names.
-TEST(DatagramSeal, ADatagramIsTakenOnceByTheHostItNames)
+// A man in the middle records datagrams and replays them to the same host, to another host, or back to the sender. Each
+// is accepted only once, by the host that it names.
+TEST(DatagramSeal, ADatagramIsAcceptedOnceByTheHostItNames)
 {
     DatagramSeal receiver(ringOf("a"), b);
     const HostId c("marousi-c");
@@ -113,26 +113,27 @@
     }
 }
 
-// A host's clock is set back while it runs. Within the window its datagrams go on from the last time, so that none is
-// taken for a repetition; beyond it they start over, or the host would be unheard for as long as its clock was ahead.
-TEST(DatagramSeal, AClockThatIsSetBackDoesNotSilenceItsHost)
+// A host's clock is set back while it runs. Within the window its timestamps continue from the last one, so that none
+// looks like a replay. Beyond the window they start from the new time, or the host's datagrams would be refused for as
+// long as its clock was ahead.
+TEST(DatagramSeal, DatagramsAreAcceptedAfterTheClockIsSetBack)
 {
     DatagramSeal sender(ringOf("a"), a);
     DatagramSeal receiver(ringOf("a"), b);
-    const auto isTaken = [&](Instant senderClock) {
+    const auto isAccepted = [&](Instant senderClock) {
         const std::string datagram = sender.seal("x", senderClock);
         const auto opened = receiver.open(datagram, now);
         return opened && !receiver.admit({a, b, opened->sentAt}, now);
     };
-    EXPECT_TRUE(isTaken(now + 5s));
-    EXPECT_TRUE(isTaken(now + 1s));
-    EXPECT_TRUE(isTaken(now + 1s));
-    EXPECT_FALSE(isTaken(now + 1h));
-    EXPECT_FALSE(isTaken(now + 1s)); // below what was taken by the clock that was ahead
-    EXPECT_TRUE(isTaken(now + 6s));
+    EXPECT_TRUE(isAccepted(now + 5s));
+    EXPECT_TRUE(isAccepted(now + 1s));
+    EXPECT_TRUE(isAccepted(now + 1s));
+    EXPECT_FALSE(isAccepted(now + 1h));
+    EXPECT_FALSE(isAccepted(now + 1s)); // earlier than the last timestamp accepted from the clock that was ahead
+    EXPECT_TRUE(isAccepted(now + 6s));
 }
 
-TEST(DatagramSeal, RemembersTheSendersOfTheWindowOnly)
+TEST(DatagramSeal, KeepsOnlyTheSendersOfTheWindow)
 {
     DatagramSeal::Options options;
     options.maxSenders = 3;
--- a/promise/testing/engineordering_test.cpp
+++ b/promise/testing/engineordering_test.cpp
@@ -28,12 +28,12 @@
     return finish == nullptr ? OrderOutcome::Malformed : finish->outcome;
 }
 
-TEST(EngineOrdering, TakesTheNextNumberAndWaitsForTheReport)
+TEST(EngineOrdering, UsesTheNextNumberAndWaitsForTheReport)
 {
     EngineOrdering ordering(requestOf(true), {});
     ordering.on(order_event::Start{}, start);
     OrderAction action = ordering.on(table::RowRead{rowOf(start + 5s)}, start);
-    EXPECT_EQ(std::get<Wait>(action).duration, Duration(5s)); // the numbers make the clock margin needless
+    EXPECT_EQ(std::get<Wait>(action).duration, Duration(5s)); // no clock margin: the engine checks numbers
     ordering.on(order_event::TimerExpired{}, start);
     action = ordering.on(table::RowRead{rowOf(start)}, start);
     EXPECT_EQ(decodeOrderRecord(std::get<Write>(action).write.value)->fencing, FencingNumber(8));
@@ -41,13 +41,13 @@
     EXPECT_EQ(std::get<SendOrder>(action).fencing, FencingNumber(8));
     EXPECT_TRUE(std::holds_alternative<ReadReported>(ordering.on(order_event::Accepted{}, start)));
     EXPECT_TRUE(std::holds_alternative<Wait>(ordering.on(order_event::Reported{"decode"}, start)));
-    // Loading takes longer than the lease: the order is not repeated, the report is.
+    // Loading takes longer than the lease: the order is not sent again, but the report is read again.
     EXPECT_TRUE(std::holds_alternative<ReadReported>(ordering.on(order_event::TimerExpired{}, start + 40s)));
     EXPECT_EQ(outcomeOf(ordering.on(order_event::Reported{"prefill"}, start + 40s)), OrderOutcome::InForce);
 }
 
-// An engine that ignores numbers obeys whoever comes. Until the other's lease and the clock margin are over, nobody
-// else may order.
+// An engine that ignores fencing numbers accepts orders of any host. Until the holder's lease and the clock margin are
+// over, no other host may order.
 TEST(EngineOrdering, WaitsOutTheLeaseOfAnEngineThatIgnoresNumbers)
 {
     EngineOrdering ordering(requestOf(false), {});
@@ -65,7 +65,8 @@
     EXPECT_EQ(outcomeOf(overtaken.on(table::RowRead{rowOf(start + 15s)}, start + 6s)), OrderOutcome::HeldByOther);
 }
 
-// The holder is frozen between taking the lease and the send, and thaws when another has it.
+// The holder is suspended between claiming the lease and sending, and resumes when its lease is over and another host
+// may hold it.
 TEST(EngineOrdering, DoesNotOrderAfterItsLease)
 {
     EngineOrdering ordering(requestOf(false), {});
--- a/promise/testing/eventrelay_test.cpp
+++ b/promise/testing/eventrelay_test.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-TEST(EventRelay, GivesWholeEventsOnly)
+TEST(EventRelay, RelaysWholeEventsOnly)
 {
     EventRelay relay;
     EXPECT_EQ(relay.take("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
@@ -20,8 +20,8 @@
     EXPECT_EQ(relay.rest(), "");
 }
 
-// An engine stops within an event and another goes on after the last whole one: the half event is not shown.
-TEST(EventRelay, DropsTheHalfEventOfAnEngineThatStopped)
+// An engine stops within an event and another one continues after the last whole event: the partial event is dropped.
+TEST(EventRelay, DropsThePartialEventOfAnEngineThatStopped)
 {
     EventRelay relay;
     relay.take("id: 1\ndata: a\n\nid: 2\ndata: half");
@@ -36,7 +36,7 @@
     EXPECT_EQ(relay.lastEvent(), "7");
 }
 
-// However the bytes are cut on the way, what is given is the same and the last id is that of the last whole event.
+// However the bytes are split, the output is the same and the last id is that of the last whole event.
 RC_GTEST_PROP(EventRelay, DoesNotDependOnHowBytesArrive, ())
 {
     const auto count = *rc::gen::inRange(0, 6);
@@ -47,15 +47,15 @@
     }
     const std::string sent = text + *rc::gen::element<std::string>("", "id: 99", "data: cut\n");
     EventRelay relay;
-    std::string given;
+    std::string relayed;
     std::int64_t events = 0;
     for (std::size_t at = 0; at < sent.size();) {
         const auto size = static_cast<std::size_t>(*rc::gen::inRange(1, 12));
-        given += relay.take(sent.substr(at, size));
+        relayed += relay.take(sent.substr(at, size));
         events += relay.wholeEvents();
         at += size;
     }
-    RC_ASSERT(given == text);
+    RC_ASSERT(relayed == text);
     RC_ASSERT(events == count);
     RC_ASSERT(relay.lastEvent() == (count == 0 ? "" : std::to_string(count)));
 }
--- a/promise/testing/keyring_test.cpp
+++ b/promise/testing/keyring_test.cpp
@@ -25,7 +25,7 @@
     std::size_t keys = 0;
 };
 
-TEST(KeyRing, TakesOneOrTwoKeysAndNamesWhatIsWrong)
+TEST(KeyRing, AcceptsOneOrTwoKeysAndReportsFaults)
 {
     const std::vector<FileCase> cases{
         {keyA, "", 1},
@@ -48,7 +48,7 @@
     }
 }
 
-TEST(KeyRing, AKeyForOnePurposeIsWorthNothingForAnother)
+TEST(KeyRing, AKeyForOnePurposeIsInvalidForAnother)
 {
     const KeyRing probes = ring(keyA).derive("probes");
     const KeyRing links = ring(keyA).derive("links");
@@ -56,8 +56,8 @@
     EXPECT_FALSE(ring(keyA).signing().key.check(probes.signing().key.sign({"x"}), {"x"}));
 }
 
-// The code of HMAC-SHA256 in RFC 4231, test case 2, cut to its first half.
-TEST(MacKey, IsTheStandardCode)
+// HMAC-SHA256 test case 2 of RFC 4231, truncated to the first half.
+TEST(MacKey, IsHmacSha256)
 {
     const std::string mac = MacKey("Jefe").sign({"what do ya ", "want for nothing?"});
     EXPECT_EQ(mac, std::string("\x5b\xdc\xc1\x46\xbf\x60\x75\x4e\x6a\x04\x24\x26\x08\x95\x75\xc7"));
@@ -71,8 +71,9 @@
     std::optional<OperatorFault> expected;
 };
 
-// Whoever reaches an admin port stops one host after the other. A proof is good for one command, at one process, now.
-TEST(OperatorProof, IsGoodForOneCommandAtOneProcessNow)
+// Without a proof, anyone who reaches an admin port could stop one host after the other. A proof is valid for one
+// command at one process for a limited time.
+TEST(OperatorProof, IsValidForOneCommandAtOneProcessForALimitedTime)
 {
     const KeyRing keys = ring(keyB + "\n" + keyA);
     const std::string good = operatorProof(keys, drain, now);
--- a/promise/testing/keys_benchmark.cpp
+++ b/promise/testing/keys_benchmark.cpp
@@ -1,5 +1,5 @@
-// What the keys cost on one core: a probe of 350 bytes, a link message of 200 and of 75,000 bytes, the opening of a
-// link at both ends, and the proof of an operator's command.
+// Measures the cost of authentication on one core: a probe of 350 bytes, a link message of 200 and of 75,000 bytes, the
+// opening of a link at both ends, and the proof of an operator's command.
 //
 //     g++ -std=c++17 -O2 -Iinclude -I. promise/testing/keys_benchmark.cpp promise/{datagramseal,linkauth}.cpp \
 //         promise/{operatorproof,keyring,hexadecimal,mackey,bytefields,base64url}.cpp -lcrypto \
@@ -38,7 +38,7 @@
     return nonce;
 }
 
-// Both ends of an opening; the bytes of its three messages.
+// Runs both ends of an opening and returns the total size of its three messages.
 std::size_t open(LinkAuth &initiator, LinkAuth &acceptor)
 {
     const auto challenge = acceptor.on(initiator.opening());
--- a/promise/testing/leadership_test.cpp
+++ b/promise/testing/leadership_test.cpp
@@ -8,17 +8,17 @@
 namespace
 {
 
-// The row in the platform's table, with replies that may be lost and writes that may be done late.
+// The lease's row in the platform's table; turn() adds lost replies and delayed writes.
 struct LeaseStore {
     std::optional<LeaseRow> row;
     std::int64_t version = 0;
 
-    bool write(const leadership_action::WriteLease &asked)
+    bool write(const leadership_action::WriteLease &write)
     {
-        if (asked.expected.value() != this->version) {
+        if (write.expected.value() != this->version) {
             return false;
         }
-        this->row = asked.row;
+        this->row = write.row;
         ++this->version;
         return true;
     }
@@ -34,8 +34,8 @@
     Instant frozenUntil;
 };
 
-// One turn of a host, with the fault that strikes it: 0 none, 1 the store is away, 2 a reply is lost after the write, 3
-// the write is done late, 4 the host freezes.
+// One step of a host with a fault: 0 none, 1 the store is unavailable, 2 the reply is lost after the write, 3 the write
+// takes effect late, 4 the host is suspended.
 void turn(Host &host, LeaseStore &store, int fault, Instant now, std::optional<leadership_action::WriteLease> &late)
 {
     if (now < host.frozenUntil) {
@@ -71,9 +71,9 @@
     }
 }
 
-// Hosts are frozen, cut off from the store, lose replies, and writes are done seconds late, in any order. Two hosts
-// that both believed in their lease would give one engine contradicting orders; at no moment may there be two.
-RC_GTEST_PROP(Leadership, HasNeverTwoLeaders, ())
+// Hosts are suspended, cut off from the store and lose replies, and writes take effect seconds late, in any order. Two
+// hosts that both hold the lease would give one engine contradictory orders, so there must never be two.
+RC_GTEST_PROP(Leadership, NeverHasTwoLeaders, ())
 {
     const Leadership::Options options;
     LeaseStore store;
@@ -97,7 +97,7 @@
         for (std::size_t each = 0; each < hosts.size(); ++each) {
             leaders += hosts[each].leadership.isLeading(now) ? 1 : 0;
             if (now >= hosts[each].frozenUntil && hosts[each].leadership.ordersUntil(now)) {
-                // Orders of two hosts are a whole lease apart.
+                // Orders of two hosts are at least one lease apart.
                 RC_ASSERT(!lastOrdered || *lastOrdered == each || now >= lastOrder + options.lease);
                 lastOrdered = each;
                 lastOrder = now;
@@ -107,10 +107,10 @@
     }
 }
 
-// All hosts start again at once. One finds the row that "b" wrote in its last term, reaches "b" and hears that it does
-// not lead; some milliseconds later "b" takes the lease again. Until the host looks at the row once more, its callers'
-// generations are placed without the leader. A row that stays as it was is looked at ever less often.
-TEST(Leadership, LooksAgainSoonAfterTheRowChanged)
+// All hosts restart at once. A host reads the row that "b" wrote in its last term, connects to "b" and learns that it
+// is not the leader; some milliseconds later "b" claims the lease again. Until the host reads the row once more, its
+// callers' generations are placed without the leader. The interval between reads of an unchanged row increases.
+TEST(Leadership, ReadsTheRowSoonAfterItChanged)
 {
     const Leadership::Options options;
     LeaseStore store;
@@ -119,21 +119,21 @@
     Host host("a", options);
     std::optional<leadership_action::WriteLease> late;
     const Instant begin(Duration(1'000'000));
-    std::vector<std::int64_t> looks; // milliseconds
+    std::vector<std::int64_t> reads; // milliseconds
     for (Duration at{0}; at < 2s; at += 5ms) {
         if (std::holds_alternative<leadership_action::ReadLease>(host.leadership.next(begin + at))) {
-            looks.push_back(at / 1ms);
+            reads.push_back(at / 1ms);
         }
         turn(host, store, 0, begin + at, late);
     }
-    ASSERT_GE(looks.size(), 4U);
-    EXPECT_LE(looks[1], 100);
-    EXPECT_LE(looks.size(), 2000U / 500 + 4); // at most half a second apart in the end, and no oftener
+    ASSERT_GE(reads.size(), 4U);
+    EXPECT_LE(reads[1], 100);
+    EXPECT_LE(reads.size(), 2000U / 500 + 4); // in the end the reads are half a second apart
     const auto last = static_cast<std::int64_t>(options.pollInterval / 1ms);
-    EXPECT_NEAR(static_cast<double>(looks.back() - looks[looks.size() - 2]), static_cast<double>(last), 10);
+    EXPECT_NEAR(static_cast<double>(reads.back() - reads[reads.size() - 2]), static_cast<double>(last), 10);
 }
 
-TEST(Leadership, TakesAFreeLeaseAndRenewsIt)
+TEST(Leadership, ClaimsAFreeLeaseAndRenewsIt)
 {
     LeaseStore store;
     Host host("a", {});
@@ -146,8 +146,9 @@
     EXPECT_NEAR(static_cast<double>(store.version), 10, 2);
 }
 
-// The leader dies. Another host takes over once it has watched the lease stand still, and not while it hears from it.
-TEST(Leadership, TakesOverOnlyFromAHolderThatIsSilent)
+// The leader dies. Another host claims the lease once it has seen the row unchanged for a lease, but not while it is
+// still connected to the leader.
+TEST(Leadership, TakesOverOnlyFromAnUnreachableHolder)
 {
     LeaseStore store;
     Host dead("a", {});
@@ -172,10 +173,10 @@
     EXPECT_TRUE(next.leadership.isLeading(now));
 }
 
-// The leader stops as planned. Without its word the others would wait for its lease to end, seconds in which each
-// decides by its own part of the load; it gives the lease back and the next one takes it at its next look. Orders still
-// wait.
-TEST(Leadership, IsHandedOverInAPlannedStop)
+// The leader stops as planned. If it did not release the lease, the others would wait some seconds for its end, during
+// which each places by its own part of the load. After the release, the next host claims the lease at its next read.
+// Orders still wait for a whole lease.
+TEST(Leadership, IsReleasedInAPlannedStop)
 {
     LeaseStore store;
     Host stopping("a", {});
@@ -199,9 +200,9 @@
     EXPECT_FALSE(stopping.leadership.isLeading(now));
 }
 
-// The leader is cut off from the table and from nothing else. Its lease ends, so it gives no orders; it goes on placing
-// for the hosts that reach it, until it reads that another one leads.
-TEST(Leadership, GoesOnWithWhatNeedsNoLease)
+// The leader loses only its connection to the table. Its lease ends, so it gives no orders, but it continues to place
+// for the hosts that reach it until it reads that another host leads.
+TEST(Leadership, ContinuesActionsThatNeedNoLease)
 {
     LeaseStore store;
     Host cut("a", {});
@@ -225,7 +226,8 @@
     EXPECT_FALSE(cut.leadership.isLastHolder());
 }
 
-// A holder that was suspended wakes with its steady clock unmoved; its lease must be over by the clock that counts.
+// A holder resumes after a suspension during which its steady clock did not advance. Its lease must be over by the
+// clock that includes suspension.
 TEST(Leadership, IsOverAfterASuspension)
 {
     LeaseStore store;
--- a/promise/testing/linkauth_test.cpp
+++ b/promise/testing/linkauth_test.cpp
@@ -38,7 +38,7 @@
             LinkAuth::accept(ringOf(acceptorKeys), scheduler, nonceOf(static_cast<char>(nonce + 1)))};
 }
 
-// Plays the opening to its end; the fault where it was refused.
+// Runs the opening to its end and returns the fault if it was refused.
 std::optional<LinkFault> prove(Ends &ends)
 {
     const auto challenge = ends.acceptor.on(ends.initiator.opening());
@@ -94,7 +94,7 @@
     }
 }
 
-// Somebody without the key knows the form of every message, and the id of the key from what he saw on the wire.
+// An attacker without the key knows the format of every message and has seen the key id on the wire.
 TEST(LinkAuth, TheIdOfAKeyWithoutTheKeyProvesNothing)
 {
     Ends real = newEnds();
@@ -112,22 +112,21 @@
     EXPECT_EQ(real.initiator.on(forged).error(), LinkFault::WrongProof);
 }
 
-// A recorded opening is played again to the same host: its nonce is new, so the recorded proof does not fit.
+// A recorded opening is replayed to the same host, which uses a new nonce, so the recorded proof is invalid.
 TEST(LinkAuth, ARecordedOpeningProvesNothing)
 {
     Ends first = newEnds();
     const std::string opening = first.initiator.opening();
     const std::string challenge = first.acceptor.on(opening).value();
     const std::string proof = first.initiator.on(challenge).value();
-    LinkAuth again = LinkAuth::accept(ringOf("a"), scheduler, nonceOf('z'));
-    ASSERT_TRUE(again.on(opening));
-    EXPECT_EQ(again.on(proof).error(), LinkFault::WrongProof);
+    LinkAuth replayed = LinkAuth::accept(ringOf("a"), scheduler, nonceOf('z'));
+    ASSERT_TRUE(replayed.on(opening));
+    EXPECT_EQ(replayed.on(proof).error(), LinkFault::WrongProof);
     LinkAuth dialling = LinkAuth::initiate(ringOf("a"), entry, nonceOf('y'));
     EXPECT_EQ(dialling.on(challenge).error(), LinkFault::WrongProof);
 }
 
-// A host dials another. Who sits in between passes its opening to a third host, or back to the host itself, and hopes
-// to be answered for.
+// A man in the middle forwards a host's opening to a third host, or back to the host itself, to have it answered there.
 TEST(LinkAuth, AnOpeningForAnotherListenerIsNotAnswered)
 {
     const LinkAuth dialling = LinkAuth::initiate(ringOf("a"), entry, nonceOf('n'));
@@ -137,7 +136,7 @@
     EXPECT_EQ(itself.on(dialling.opening()).error(), LinkFault::WrongAddress);
 }
 
-TEST(LinkAuth, WhatAnEndSaidIsNoAnswerToIt)
+TEST(LinkAuth, AReflectedMessageIsRefused)
 {
     Ends ends = newEnds();
     const std::string challenge = ends.acceptor.on(ends.initiator.opening()).value();
@@ -153,10 +152,10 @@
 struct StreamCase {
     const char *name;
     std::vector<int> arriving; // numbers of the messages sent, in the order of their arrival
-    std::size_t taken; // before the link ends
+    std::size_t accepted; // before the link ends
 };
 
-TEST(LinkAuth, MessagesAreTakenOnceInOrderAndOnTheirOwnLink)
+TEST(LinkAuth, MessagesAreAcceptedOnceInOrderAndOnTheirOwnLink)
 {
     const std::vector<StreamCase> cases{
         {"as sent", {0, 1, 2}, 3},
@@ -171,18 +170,18 @@
         for (std::string &message : sent) {
             message = ends.initiator.seal("the same text each time");
         }
-        std::size_t taken = 0;
+        std::size_t accepted = 0;
         for (const int number : c.arriving) {
-            taken += ends.acceptor.open(sent[static_cast<std::size_t>(number)]) ? 1 : 0;
+            accepted += ends.acceptor.open(sent[static_cast<std::size_t>(number)]) ? 1 : 0;
         }
-        EXPECT_EQ(taken, c.taken) << c.name;
+        EXPECT_EQ(accepted, c.accepted) << c.name;
     }
     Ends one = provenEnds('g');
     Ends other = provenEnds('r');
     EXPECT_EQ(other.acceptor.open(one.initiator.seal("x")).error(), LinkFault::WrongMessage);
 }
 
-// After a fault the link takes nothing more, though the next message be sound: what was between the two is unknown.
+// After a fault the link accepts no message, even a valid one: it is unknown what was lost before it.
 TEST(LinkAuth, AFaultEndsTheLink)
 {
     Ends ends = provenEnds();
@@ -201,8 +200,8 @@
     return text;
 }
 
-// Any byte of any of the three messages of the opening is changed on its way, or its end is cut off: neither end may be
-// proven to the other after that, but for the initiator once it has had a sound challenge.
+// One byte of one of the three messages of the opening is changed in transit, or the message is truncated. Neither end
+// may then be proven, except the initiator if it has received a valid challenge.
 RC_GTEST_PROP(LinkAuth, NoMutationOfAnOpeningIsAccepted, ())
 {
     Ends ends = newEnds("ab", "ba");
--- a/promise/testing/linkuse_test.cpp
+++ b/promise/testing/linkuse_test.cpp
@@ -36,8 +36,8 @@
     EXPECT_TRUE(use.isOffered());
 }
 
-// A patient request waits in the owner's queue for a minute; neither side says anything. Closed as idle, the link would
-// drop it from that queue, and the caller's place with it.
+// A request waits in the owner's queue for a minute and neither side sends a message. Closing the link as idle would
+// remove the request from that queue.
 TEST(LinkUse, StaysOpenWhileARequestWaits)
 {
     LinkUse use = openLink();
@@ -48,21 +48,20 @@
     EXPECT_EQ(use.tick(false, start + 64s), Step::Close);
 }
 
-// A Submit is handed over in the moment in which the link is closed as idle: it opens the link again, and is kept until
-// it is open.
+// A Submit is sent at the moment when the link is closed as idle. It opens the link again and is queued until then.
 TEST(LinkUse, AMessageRightAfterTheCloseOpensAgain)
 {
     LinkUse use = openLink();
     ASSERT_EQ(use.tick(false, start + 4s), Step::Close);
     EXPECT_EQ(use.onMessage(start + 4s), Way::Open);
-    use.onClosed(); // of the connection that was closed
+    use.onClosed(); // of the previous connection
     EXPECT_TRUE(use.isOffered());
     EXPECT_EQ(use.tick(true, start + 4s), Step::None);
 }
 
-// The owner hangs. Whoever waits is told after the limit; requests that come meanwhile are placed without it; the link
+// The owner hangs. Waiting requests are notified after the limit, new ones are placed without the owner, and the link
 // is offered again once it opens.
-TEST(LinkUse, GivesUpAnOwnerThatDoesNotAnswer)
+TEST(LinkUse, GivesUpAnOwnerThatDoesNotReply)
 {
     LinkUse use({});
     use.onMessage(start);
@@ -83,7 +82,7 @@
     EXPECT_EQ(use.tick(true, start + 10s), Step::None);
 }
 
-// The owner is dead and nobody asks for it any more: no connection is tried for ever.
+// The owner is dead and no request needs it any more: connection attempts do not continue for ever.
 TEST(LinkUse, ALostLinkThatNobodyUsesIsClosed)
 {
     LinkUse use = openLink();
@@ -102,8 +101,8 @@
     EXPECT_EQ(use.onMessage(start), Way::Drop);
 }
 
-// Whatever comes in whatever order: no link is closed within `idle` of its last message or use, and none is kept
-// for longer than that.
+// For any sequence of events: no link is closed within `idle` of its last message or use, and none stays open much
+// longer.
 RC_GTEST_PROP(LinkUse, IsClosedNeitherTooEarlyNorNever, (const std::vector<std::uint8_t> &events))
 {
     LinkUse use({});
--- a/promise/testing/membership_test.cpp
+++ b/promise/testing/membership_test.cpp
@@ -16,7 +16,7 @@
 constexpr Duration tickLength = 50ms;
 constexpr Duration delay = 5ms;
 
-// Hosts with their messages in virtual time; what is down or cut neither sends nor gets.
+// Simulates hosts and their messages in virtual time. A host that is down neither sends nor receives.
 class Fleet
 {
 public:
@@ -63,7 +63,7 @@
 
     std::vector<std::unique_ptr<Membership>> hosts;
     std::set<int> down;
-    std::set<int> island; // hears only itself
+    std::set<int> island; // partitioned: exchanges messages only within itself
     Instant now{1000s};
     std::int64_t bytes = 0;
     std::int64_t messages = 0;
@@ -92,7 +92,7 @@
     double loss;
 };
 
-// Itself left out.
+// The number of live hosts that `at` sees, itself not included.
 int aliveFor(const Membership &at)
 {
     const std::vector<MemberInfo> members = at.members();
@@ -111,7 +111,7 @@
     return MemberState::Dead;
 }
 
-TEST(Membership, HostsFindOneAnotherAndStay)
+TEST(Membership, HostsDiscoverEachOtherAndStayAlive)
 {
     Fleet fleet(9, 1, 0.05);
     fleet.run(30s);
@@ -134,9 +134,9 @@
     }
 }
 
-// A process is frozen for half a minute. Everybody buries it; when it thaws it must come back, and must not bury
-// others.
-TEST(Membership, AFrozenHostComesBack)
+// A process is suspended for half a minute and all others declare it dead. When it resumes it must become alive again
+// and must not declare others dead.
+TEST(Membership, ASuspendedHostBecomesAliveAgain)
 {
     Fleet fleet(9, 3);
     fleet.run(10s);
@@ -149,7 +149,7 @@
     }
 }
 
-TEST(Membership, TwoSidesOfAHealedCutFindEachOther)
+TEST(Membership, TwoSidesOfAHealedPartitionFindEachOther)
 {
     Fleet fleet(9, 4);
     fleet.run(10s);
@@ -194,8 +194,8 @@
     }
 }
 
-// The two-year size, with 48 cells that publish every five seconds: what a host sends must stay below the budget, and
-// stays the same in a fleet of any size.
+// The fleet size expected in two years, with 48 cells that publish every five seconds: what a host sends must stay
+// below the budget, which does not depend on the fleet size.
 TEST(Membership, StaysInItsBudgetAt340Hosts)
 {
     Fleet fleet(340, 7);
@@ -215,9 +215,9 @@
     }
 }
 
-// The platform's table fails right after a change was accepted, and the hosts that have read it must tell the others.
-// The summaries of 48 cells, new every second, fill every message; without a place of its own the version of the
-// declaration stays behind them, and hosts go on under the old text for minutes.
+// The platform's table fails right after a change was accepted, and the hosts that have read it must announce it to the
+// others. The summaries of 48 cells, new every second, fill every message. Without reserved room the version of the
+// declaration would queue behind them, and hosts would use the old declaration for minutes.
 TEST(Membership, AnUrgentFactOvertakesTheSummariesOf48Cells)
 {
     for (const int size : {9, 36, 340}) {
--- a/promise/testing/orphanfinder_test.cpp
+++ b/promise/testing/orphanfinder_test.cpp
@@ -25,8 +25,8 @@
     return finder;
 }
 
-// An entry dies in the middle of an answer and its caller does not come back. The engine's memory must be free again.
-TEST(OrphanFinder, NamesAStreamOfADeadEntryAfterTheGraceUntilItIsGone)
+// An entry dies in the middle of an answer and its caller does not resume. The engine's memory must be released.
+TEST(OrphanFinder, ReturnsAStreamOfADeadEntryAfterTheGraceUntilItIsGone)
 {
     OrphanFinder finder = finderWith({b});
     const std::vector<EngineStream> list{{s1, a, true}};
@@ -50,7 +50,7 @@
     EXPECT_EQ(finder.onStreams(engine, list, start + 75s), onlyS1);
 }
 
-// The caller comes back at another entry in time; the grace begins anew if that one dies too.
+// The caller resumes at another entry in time. The grace period starts again if that entry dies too.
 TEST(OrphanFinder, AResumedStreamIsNoOrphan)
 {
     OrphanFinder finder = finderWith({b});
@@ -62,7 +62,8 @@
     EXPECT_EQ(finder.onStreams(engine, {{s1, b, true}}, start + 31s), onlyS1);
 }
 
-// A scheduler takes over a cell. No entry has said yet what it holds; cancelling now would cut off every caller.
+// A scheduler becomes the owner of a cell. No entry has reported yet what it holds; cancelling now would end the
+// streams of all callers.
 TEST(OrphanFinder, ANewOwnerWaitsForTheEntries)
 {
     OrphanFinder finder({}, start);
@@ -72,7 +73,7 @@
     EXPECT_EQ(finder.onStreams(engine, {{s1, a, false}}, start + 60s), none);
 }
 
-TEST(Cancellation, GoesOnUntilTheEngineConfirmsAndIsBounded)
+TEST(Cancellation, RetriesUntilTheEngineConfirmsAndIsBounded)
 {
     Cancellation cancellation({}, start);
     Instant now = start;
@@ -92,8 +93,9 @@
     EXPECT_EQ(Cancellation({}, start).onConfirmed().kind, CancelStep::Confirmed);
 }
 
-// A rolling restart: the balancer still sends for some seconds after the health check fails, and a long answer runs.
-TEST(Draining, TellsTheBalancerFirstAndCutsNothingOff)
+// A rolling restart: the load balancer still sends requests for some seconds after the health check fails, and a long
+// answer is in progress.
+TEST(Draining, FailsTheHealthCheckFirstAndEndsNoRequest)
 {
     Draining draining({});
     draining.onWork({2, 1, 1});
--- a/promise/testing/placingroute_test.cpp
+++ b/promise/testing/placingroute_test.cpp
@@ -21,7 +21,7 @@
     return route;
 }
 
-// Frozen leader: its followers place through the deputy and not each for itself.
+// The leader hangs: its followers place through the deputy instead of each placing alone.
 TEST(PlacingRoute, TurnsToTheDeputyWhenTheLeaderIsLost)
 {
     PlacingRoute route = following(other);
@@ -32,14 +32,14 @@
     EXPECT_EQ(route.wantedDeputy(start), other);
     route.onDeputyReached();
     EXPECT_EQ(route.path(start), PlacingPath::Deputy);
-    route.onLeaderReached(); // of the next term, which names its own deputy
+    route.onLeaderReached(); // the leader of the next term, which names its own deputy
     EXPECT_EQ(route.path(start), PlacingPath::Leader);
     EXPECT_FALSE(route.wantedDeputy(start));
     route.onLeaderLost(start);
     EXPECT_FALSE(route.wantedDeputy(start));
 }
 
-TEST(PlacingRoute, StandsInOnlyWhileItHasNoLeader)
+TEST(PlacingRoute, ActsAsLeaderOnlyWhileItHasNoLeader)
 {
     PlacingRoute route = following(self);
     EXPECT_FALSE(route.isActingLeader());
@@ -52,7 +52,7 @@
     EXPECT_FALSE(route.isActingLeader());
 }
 
-// Only this host lost the leader: the deputy still follows it and refuses; the leader may come back into reach.
+// Only this host lost the leader: the deputy still follows it and refuses; the leader may become reachable again.
 TEST(PlacingRoute, PlacesAloneWhereTheDeputyKeepsRefusing)
 {
     PlacingRoute route = following(other);
@@ -66,10 +66,10 @@
         EXPECT_FALSE(route.wantedDeputy(now + 99ms));
     }
     EXPECT_EQ(route.path(now), PlacingPath::Alone);
-    EXPECT_EQ(route.wantedDeputy(now), other); // and goes on asking
+    EXPECT_EQ(route.wantedDeputy(now), other); // and continues to connect
 }
 
-// Rolling restart with the leader frozen: the deputy stops as well, and the host that it named takes over.
+// The leader hangs during a rolling restart: the deputy stops as well, and the host that it named takes over.
 TEST(PlacingRoute, TurnsToTheNextDeputyWhenTheFirstIsLost)
 {
     PlacingRoute route = following(other);
@@ -98,7 +98,7 @@
     route.onLeaderLost(start);
     EXPECT_FALSE(route.wantedDeputy(start));
     EXPECT_FALSE(route.isActingLeader());
-    route.onDeputyReached(); // a link that was opened before
+    route.onDeputyReached(); // over a link that was opened earlier
     EXPECT_EQ(route.path(start), PlacingPath::Alone);
 }
 
--- a/promise/testing/streamprogress_test.cpp
+++ b/promise/testing/streamprogress_test.cpp
@@ -29,8 +29,9 @@
     EXPECT_EQ(progress.onFragment(Offset(2), "late", start), FragmentVerdict::Drop);
 }
 
-// The caller lost its entry after two fragments and comes to another. It gets the rest only, and the whole is checked.
-TEST(StreamProgress, ACallerThatComesBackGetsWhatItLacks)
+// The caller lost its entry after two fragments and resumes at another one. It receives only the rest, and the digest
+// of the whole text is verified.
+TEST(StreamProgress, ACallerThatResumesGetsTheMissingFragments)
 {
     StreamProgress progress({}, Offset(2), start);
     EXPECT_EQ(progress.readFrom(), Offset(0));
@@ -44,7 +45,8 @@
     EXPECT_EQ(pastTheEnd.onEnd(Offset(1), textDigest("a")), EndVerdict::Corrupt);
 }
 
-// A middlebox forgets the connection: it goes silent for good and new ones work. The answer would stop in the middle.
+// A middlebox drops the state of the connection, which stays silent while new connections work. Without a reattach the
+// answer would stop in the middle.
 TEST(StreamProgress, ASilentConnectionIsReadAgainABoundedNumberOfTimes)
 {
     StreamProgress progress({}, Offset(0), start);
@@ -70,8 +72,8 @@
     EXPECT_EQ(progress.check(start + 1s), StreamCheck::Reattach);
 }
 
-// Connections that break, repeat, skip and mix in older lines: what is delivered is always a prefix of the text, and
-// Whole is said of the whole text only.
+// Connections break, and lines are repeated, skipped or out of order: what is delivered is always a prefix of the text,
+// and Whole is returned only for the whole text.
 RC_GTEST_PROP(StreamProgress, WhateverArrivesTheCallerGetsTheTextOnce, (const std::vector<std::uint8_t> &arrivals))
 {
     const std::string text = "abcdefghij";
