--- a/promise/leadership.h
+++ b/promise/leadership.h
@@ -87,7 +87,8 @@
     LeadershipAction next(Instant now) const;
     // The row that was read, or none if it does not exist.
     void onRead(const std::optional<LeaseRow> &row, RowVersion version, Instant now);
-    // The write was accepted. `sent` is a time before the write was sent, since others may count the lease from then.
+    // The write was accepted. `sent` is a time before the write was sent, since others
+    // do not start to count the lease earlier.
     void onWritten(RowVersion version, Instant sent);
     // There was no reply, or none that states whether the write took effect.
     void onFailed(Instant now);
