--- a/programs/gateway/leaderlink.cpp
+++ b/programs/gateway/leaderlink.cpp
@@ -110,7 +110,7 @@
     }
     this->switchPath(this->route.path(now));
     const bool wasActing = this->isActing;
-    this->isActing = this->route.isStandingIn();
+    this->isActing = this->route.isActingLeader();
     const bool placesForAll = this->isLeading || this->isActing || this->path != PlacingPath::Alone;
     this->gates.setShare(placesForAll ? 1 : 1.0 / static_cast<double>(this->hosts));
     if (this->isActing != wasActing) {
--- a/promise/cellowner.cpp
+++ b/promise/cellowner.cpp
@@ -2,21 +2,22 @@
 
 #include <xxhash.h>
 
-// Every host weighs (thing, host) with the same hash and takes the heaviest. All hosts must compute the same weight,
-// also across versions of the program: XXH64 is a fixed function, unlike std::hash. A tie goes to the lower name.
+// Rendezvous hashing: every host computes a weight for each (key hash, host) pair and chooses the host with the highest
+// weight. All hosts must compute the same weight, also across versions of the program: XXH64 is a fixed function,
+// unlike std::hash. A tie goes to the lower name.
 //
-// Rejected: a lock row in the table per cell. It would make placing depend on the store, which may be down for long,
-// and two owners for a few seconds cost quality only.
+// Rejected: a lock row per cell in the table. Placement would depend on the store, which may be unavailable for a long
+// time, and two owners for a few seconds only reduce the quality of placement.
 
 namespace fescuesill
 {
 
-std::optional<HostId> heaviestHost(std::uint64_t thing, const std::vector<HostId> &hosts)
+std::optional<HostId> heaviestHost(std::uint64_t hash, const std::vector<HostId> &hosts)
 {
     const HostId *best = nullptr;
     std::uint64_t bestWeight = 0;
     for (const HostId &host : hosts) {
-        const std::uint64_t weight = XXH64(host.value().data(), host.value().size(), thing);
+        const std::uint64_t weight = XXH64(host.value().data(), host.value().size(), hash);
         if (best == nullptr || weight > bestWeight || (weight == bestWeight && host < *best)) {
             best = &host;
             bestWeight = weight;
--- a/promise/engineordering.cpp
+++ b/promise/engineordering.cpp
@@ -3,30 +3,30 @@
 #include <stdexcept>
 #include <utility>
 
-// The row holds the highest number given out, who may order under it and until when. Numbers come from compare-and-set
-// on the row, so no two orders have the same one, and each is higher than all before.
+// The row holds the highest fencing number issued, the holder that may order under it and the end of the lease. Numbers
+// come from compare-and-set on the row, so they are unique and strictly increasing.
 //
-// Engines that check numbers: the number alone shuts an old holder out, whatever the clocks say. The lease is waited
-// for all the same: while two schedulers both believe that they own the cell, each would order the engine back from
-// what the other wished, and every change of role or model costs seconds of its work.
+// Engines that check fencing numbers: the number alone excludes an old holder, whatever the clocks show. The lease is
+// still waited for: while two schedulers both act as the owner of the cell, each would revert the other's orders, and
+// every change of role or model costs the engine seconds of work.
 //
-// Engines that ignore numbers: only time keeps two holders apart. A holder sends only while its own lease runs, and a
-// new one takes the row only when the old lease has been over for the clock margin on top. What remains is a holder
-// frozen between its last look at the clock and the first byte: its order arrives late and the engine takes it. It
-// shows as an engine that leaves the desired state by itself. Nothing can prevent that at an engine that checks
-// nothing, so it is repaired: orders are level-triggered, and the holder orders again when the report differs from the
-// wish.
+// Engines that ignore fencing numbers: only time separates two holders. A holder sends only while its own lease is
+// valid, and a new holder claims the row only once the old lease has been over for the clock margin. One case remains:
+// a holder suspended between its last check of the clock and the first byte sends a late order, which the engine
+// accepts, and the engine leaves the desired state. An engine that checks nothing cannot be protected from this, so it
+// is repaired: orders are level-triggered, and the holder orders again when the reported state differs from the desired
+// one.
 //
-// An order whose reply is lost is not a case of its own: the engine's report says what is so.
+// An order whose reply is lost needs no case of its own: the engine's reported state decides.
 
 namespace fescuesill
 {
 namespace
 {
 
-[[noreturn]] void throwMisfit()
+[[noreturn]] void throwUnexpectedEvent()
 {
-    throw std::logic_error("order: the event does not answer the action");
+    throw std::logic_error("order: the event does not match the last action");
 }
 
 } // namespace
@@ -39,11 +39,11 @@
 
 OrderAction EngineOrdering::on(const OrderEvent &event, Instant now)
 {
-    const bool woken = std::holds_alternative<order_event::Woken>(event);
+    const bool timerExpired = std::holds_alternative<order_event::TimerExpired>(event);
     switch (this->state) {
     case State::New:
         if (!std::holds_alternative<order_event::Start>(event)) {
-            throwMisfit();
+            throwUnexpectedEvent();
         }
         return this->read();
     case State::Reading:
@@ -52,23 +52,23 @@
         return this->onWritten(event, now);
     case State::Sending:
         return this->onSent(event);
-    case State::Asking:
+    case State::ReadingReport:
         return this->onReported(event);
     case State::WaitingOutLease:
-        if (!woken) {
-            throwMisfit();
+        if (!timerExpired) {
+            throwUnexpectedEvent();
         }
         this->tries = 0;
         return this->read();
     case State::WaitingForReport:
-        if (!woken) {
-            throwMisfit();
+        if (!timerExpired) {
+            throwUnexpectedEvent();
         }
         return this->onReportWait(now);
     case State::Finished:
         break;
     }
-    throwMisfit();
+    throwUnexpectedEvent();
 }
 
 OrderAction EngineOrdering::read()
@@ -83,10 +83,10 @@
 OrderAction EngineOrdering::onRead(const OrderEvent &event, Instant now)
 {
     if (const auto *got = std::get_if<table::RowRead>(&event)) {
-        return got->row ? this->onRow(*got->row, now) : this->take(FencingNumber(0), absent, now);
+        return got->row ? this->onRow(*got->row, now) : this->claim(FencingNumber(0), absent, now);
     }
     if (!std::holds_alternative<table::ReadFailed>(event)) {
-        throwMisfit();
+        throwUnexpectedEvent();
     }
     return this->read();
 }
@@ -98,7 +98,7 @@
         return this->finish(OrderOutcome::Malformed);
     }
     if (found->orderId == this->request.orderId) {
-        // The write took effect and its reply was lost.
+        // The write took effect but its reply was lost.
         this->own = *found;
         return this->send(now);
     }
@@ -106,20 +106,20 @@
     const Instant free = found->leaseEnd + margin;
     const bool mustWait = found->holder != this->request.holder && now < free;
     if (!mustWait) {
-        return this->take(found->fencing, row.version, now);
+        return this->claim(found->fencing, row.version, now);
     }
     if (this->waited) {
         return this->finish(OrderOutcome::HeldByOther);
     }
     if (free - now > this->options.lease + 2 * this->options.clockMargin) {
-        return this->finish(OrderOutcome::HeldByOther); // a lease that long is not one of ours
+        return this->finish(OrderOutcome::HeldByOther); // longer than any lease that this program writes
     }
-    this->waited = true; // waits once: who is overtaken while it waits leaves the engine to the other
+    this->waited = true; // waits once: if another holder claims the row meanwhile, it keeps the engine
     this->state = State::WaitingOutLease;
     return order_action::Wait{free - now};
 }
 
-OrderAction EngineOrdering::take(FencingNumber seen, RowVersion version, Instant now)
+OrderAction EngineOrdering::claim(FencingNumber seen, RowVersion version, Instant now)
 {
     this->own = OrderRecord{seen + FencingNumber(1),   this->request.holder, this->request.orderId,
                             now + this->options.lease, this->request.kind,   this->request.value};
@@ -135,15 +135,15 @@
     const bool failed = std::holds_alternative<table::Conflict>(event) || std::holds_alternative<table::Refused>(event)
         || std::holds_alternative<table::NoReply>(event);
     if (!failed) {
-        throwMisfit();
+        throwUnexpectedEvent();
     }
     return this->read();
 }
 
 OrderAction EngineOrdering::send(Instant now)
 {
-    // Failure: the holder was frozen past its lease and still believes that it holds it. It shows as two holders'
-    // orders mixed at one engine. The time is taken after the write, so a frozen holder sees that its lease is over.
+    // A holder that was suspended past the end of its lease must not send, or the orders of two holders would mix at
+    // one engine. `now` is read after the write, so such a holder sees that its lease is over.
     if (now >= this->own.leaseEnd) {
         return this->finish(OrderOutcome::LeaseLost);
     }
@@ -156,11 +156,11 @@
     if (std::holds_alternative<order_event::Stale>(event)) {
         return this->finish(OrderOutcome::HeldByOther);
     }
-    this->taken = std::holds_alternative<order_event::Taken>(event);
-    if (!this->taken && !std::holds_alternative<order_event::NotTaken>(event)) {
-        throwMisfit();
+    this->accepted = std::holds_alternative<order_event::Accepted>(event);
+    if (!this->accepted && !std::holds_alternative<order_event::NotAccepted>(event)) {
+        throwUnexpectedEvent();
     }
-    this->state = State::Asking;
+    this->state = State::ReadingReport;
     return order_action::ReadReported{};
 }
 
@@ -168,7 +168,7 @@
 {
     const auto *reported = std::get_if<order_event::Reported>(&event);
     if (reported == nullptr && !std::holds_alternative<order_event::ReportFailed>(event)) {
-        throwMisfit();
+        throwUnexpectedEvent();
     }
     if (reported != nullptr && reported->value == this->request.value) {
         return this->finish(OrderOutcome::InForce);
@@ -180,15 +180,15 @@
     return order_action::Wait{this->options.reportWait};
 }
 
-// An order that was taken may need longer than the lease to come into force: only the report is asked for again. One
-// whose reply was lost is sent again while the lease runs, with the same number and value, so a second arrival changes
-// nothing.
+// An accepted order may need longer than the lease to take effect, so only the reported state is read again. An order
+// whose reply was lost is sent again while the lease is valid, with the same number and value, so a second delivery
+// changes nothing.
 OrderAction EngineOrdering::onReportWait(Instant now)
 {
-    if (!this->taken) {
+    if (!this->accepted) {
         return this->send(now);
     }
-    this->state = State::Asking;
+    this->state = State::ReadingReport;
     return order_action::ReadReported{};
 }
 
--- a/promise/factboard.h
+++ b/promise/factboard.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// The newest version of each fact, how often it was passed on, and whose turn it is to be passed on again.
+// Holds the newest version of each fact, how often it was sent, and which fact is sent next in round-robin order.
 //
 //     FactBoard board({});
 //     board.apply(Fact{"cell/motor-7b/athens", 17, bytes}, now);     // ignored unless the version is higher
-//     for (FactBoard::Held *held : board.rumours(limit)) { ... ++held->sent; }
-//     const Fact *fact = board.nextInTurn(room);
+//     for (FactBoard::Entry *entry : board.gossip(limit)) { ... ++entry->sent; }
+//     const Fact *fact = board.nextRoundRobin(room);
 
 #include "fescuesill/units.h"
 #include "promise/probemessage.h"
@@ -21,13 +21,13 @@
 {
 public:
     struct Options {
-        // One per cell and a few for the configuration; the one that has not changed for longest goes first.
-        std::size_t most = 512;
-        Bytes mostBytes{128};
-        // Urgent ones ride on every message of 300 bytes; a peer that calls all urgent must not fill them.
-        std::size_t mostUrgent = 2;
+        // One per cell and a few for the configuration. The one unchanged for the longest time is evicted first.
+        std::size_t maxFacts = 512;
+        Bytes maxFactBytes{128};
+        // Every message of 300 bytes carries all urgent facts, so a peer that marks many as urgent must not fill it.
+        std::size_t maxUrgent = 2;
     };
-    struct Held {
+    struct Entry {
         Fact fact;
         Instant since;
         int sent = 0;
@@ -35,13 +35,13 @@
 
     explicit FactBoard(Options options);
 
-    // Whether it was newer than what was held.
+    // Returns whether the fact was stored, which it is only if it is newer than the one held.
     bool apply(const Fact &fact, Instant now);
     std::vector<Fact> urgent() const;
-    // Those that were passed on fewer times than the limit; the urgent ones left out.
-    std::vector<Held *> rumours(int limit);
-    // The next one round, where it has room; nullptr otherwise.
-    const Fact *nextInTurn(std::size_t room);
+    // The facts that were sent fewer times than the limit, without the urgent ones.
+    std::vector<Entry *> gossip(int limit);
+    // The next fact in round-robin order; nullptr if it does not fit into the room or there is none.
+    const Fact *nextRoundRobin(std::size_t room);
 
     std::vector<Fact> all() const;
     std::size_t size() const;
@@ -50,8 +50,8 @@
     void evictOldest();
 
     Options options;
-    std::map<std::string, Held> held;
-    std::string turn;
+    std::map<std::string, Entry> entries;
+    std::string lastSentName;
 };
 
 } // namespace fescuesill
--- a/promise/keyring.cpp
+++ b/promise/keyring.cpp
@@ -4,8 +4,9 @@
 
 #include <algorithm>
 
-// An id is the first four bytes of a code that the key makes of a fixed text. Two keys of one file that share an id,
-// which happens once in four thousand million, are refused as if they were equal: another one is quickly made.
+// A key id is the first four bytes of the key's MAC over a fixed text. Two different keys of one file share an id with
+// a probability of one in four thousand million. They are refused as if they were equal, and the operator generates
+// another one.
 
 namespace fescuesill
 {
@@ -52,10 +53,10 @@
         if (!secret) {
             return refuse("is not hexadecimal");
         }
-        if (secret->size() < leastKeyBytes || secret->size() > mostKeyBytes) {
+        if (secret->size() < minKeyBytes || secret->size() > maxKeyBytes) {
             return refuse("has " + std::to_string(secret->size()) + " bytes");
         }
-        if (ring.entries.size() == mostKeys) {
+        if (ring.entries.size() == maxKeys) {
             return refuse("is a third key");
         }
         MacKey key(*secret);
--- a/promise/leadership.cpp
+++ b/promise/leadership.cpp
@@ -1,11 +1,11 @@
-// The holder renews by writing the row again under the condition that nobody else has. Another host takes the lease
-// only after it has itself watched one version of the row stand still for a whole lease and a margin; it needs no clock
-// of the holder's. The holder counts its lease from before it sent the renewal, so it stops believing in it before
-// anybody can take it. Since every write is conditional, two takers cannot both succeed.
+// The holder renews the lease with a compare-and-set on the row. Another host claims the lease only after it has itself
+// observed one version of the row unchanged for a whole lease and a margin, so it does not depend on the holder's
+// clock. The holder counts its lease from before it sent the renewal, so for the holder the lease ends before any other
+// host can claim it. Since every write is conditional, two claims cannot both succeed.
 //
-// A write whose reply was lost may have been done, or may be done seconds later if its condition still holds. The row
-// is read back and decides: where it names this host, the renewal counts only from that read's doubt on, that is not at
-// all until the next accepted write.
+// A write whose reply was lost may have taken effect, or may take effect seconds later if its condition still holds.
+// The row is read back and decides. Even when it names this host, such a renewal does not extend the lease; only the
+// next accepted write does.
 
 #include "promise/leadership.h"
 
@@ -38,7 +38,7 @@
 Leadership::Leadership(LeaseRow own, Options given)
     : self(std::move(own))
     , options(given)
-    , untilNextLook(given.look)
+    , pollDelay(given.pollInterval)
 {
 }
 
@@ -47,8 +47,8 @@
     return this->row && this->row->isSameHolder(this->self);
 }
 
-// The next look stays where it was: a leader that can be reached and has ended its lead would else be looked up again
-// at once, many times a second.
+// Does not change the time of the next poll. Otherwise the row would be read many times a second while a leader is
+// reachable that has given up the lease.
 void Leadership::onLeaderSeen(bool seen)
 {
     this->isSeen = seen;
@@ -56,16 +56,16 @@
 
 bool Leadership::isLeading(Instant now) const
 {
-    return this->held && now < *this->held + this->options.lease - this->options.margin;
+    return this->lastRenewal && now < *this->lastRenewal + this->options.lease - this->options.margin;
 }
 
 std::optional<Instant> Leadership::ordersUntil(Instant now) const
 {
-    const bool isSettled = now >= this->taken + this->options.lease + this->options.margin;
+    const bool isSettled = now >= this->termStart + this->options.lease + this->options.margin;
     if (!this->isLeading(now) || !isSettled || this->isReleasing) {
         return std::nullopt;
     }
-    return *this->held + this->options.lease - this->options.margin;
+    return *this->lastRenewal + this->options.lease - this->options.margin;
 }
 
 void Leadership::release()
@@ -76,17 +76,17 @@
 LeadershipAction Leadership::next(Instant now) const
 {
     if (this->isReleasing) {
-        if (this->held && this->isOwnRow()) {
+        if (this->lastRenewal && this->isOwnRow()) {
             return leadership_action::WriteLease{LeaseRow{HostId(), {}, this->row->renewals + 1}, this->rowVersion};
         }
-        return leadership_action::WaitUntil{now + this->options.look};
+        return leadership_action::WaitUntil{now + this->options.pollInterval};
     }
     if (!this->isRead) {
-        return now < this->nextLook ? LeadershipAction(leadership_action::WaitUntil{this->nextLook})
+        return now < this->nextPoll ? LeadershipAction(leadership_action::WaitUntil{this->nextPoll})
                                     : leadership_action::ReadLease{};
     }
-    if (this->held) {
-        const Instant due = *this->held + this->options.renew;
+    if (this->lastRenewal) {
+        const Instant due = *this->lastRenewal + this->options.renew;
         if (now < due) {
             return leadership_action::WaitUntil{due};
         }
@@ -95,16 +95,16 @@
         return leadership_action::WriteLease{renewed, this->rowVersion};
     }
     const bool isFree = !this->row || this->row->host.isEmpty() || this->isOwnRow()
-        || now >= this->changed + this->options.lease + this->options.margin;
+        || now >= this->changedAt + this->options.lease + this->options.margin;
     if (isFree && !this->isSeen) {
-        LeaseRow taken = this->self;
-        taken.renewals = this->row ? this->row->renewals + 1 : 1;
-        return leadership_action::WriteLease{taken, this->rowVersion};
+        LeaseRow claimed = this->self;
+        claimed.renewals = this->row ? this->row->renewals + 1 : 1;
+        return leadership_action::WriteLease{claimed, this->rowVersion};
     }
     if (this->isSeen) {
-        return leadership_action::WaitUntil{now + this->options.look};
+        return leadership_action::WaitUntil{now + this->options.pollInterval};
     }
-    return now < this->nextLook ? LeadershipAction(leadership_action::WaitUntil{this->nextLook})
+    return now < this->nextPoll ? LeadershipAction(leadership_action::WaitUntil{this->nextPoll})
                                 : leadership_action::ReadLease{};
 }
 
@@ -112,22 +112,22 @@
 {
     const bool isNew = !this->isRead || version != this->rowVersion;
     if (isNew) {
-        this->changed = now;
+        this->changedAt = now;
     }
     if (version != this->rowVersion) {
-        this->held.reset(); // somebody else wrote
+        this->lastRenewal.reset(); // another host wrote the row
     }
     this->row = read;
     this->rowVersion = version;
     this->isRead = true;
-    this->planLook(isNew, now);
+    this->schedulePoll(isNew, now);
 }
 
-void Leadership::planLook(bool isChanged, Instant now)
+void Leadership::schedulePoll(bool isChanged, Instant now)
 {
-    const Duration next = isChanged ? this->options.firstLook : this->untilNextLook * 2;
-    this->untilNextLook = std::min(next, this->options.look);
-    this->nextLook = now + this->untilNextLook;
+    const Duration next = isChanged ? this->options.firstPollDelay : this->pollDelay * 2;
+    this->pollDelay = std::min(next, this->options.pollInterval);
+    this->nextPoll = now + this->pollDelay;
 }
 
 void Leadership::onWritten(RowVersion version, Instant sent)
@@ -136,23 +136,23 @@
     if (this->isReleasing) {
         this->row = LeaseRow{HostId(), {}, renewals};
         this->rowVersion = version;
-        this->held.reset();
+        this->lastRenewal.reset();
         return;
     }
     this->row = this->self;
     this->row->renewals = renewals;
     this->rowVersion = version;
-    this->taken = this->held ? this->taken : sent;
-    this->held = sent;
-    this->hasHeld = true;
+    this->termStart = this->lastRenewal ? this->termStart : sent;
+    this->lastRenewal = sent;
+    this->hasHeldLease = true;
 }
 
 void Leadership::onFailed(Instant now)
 {
     this->isRead = false;
-    this->nextLook = now + this->options.look;
-    if (this->held && !this->isLeading(now)) {
-        this->held.reset();
+    this->nextPoll = now + this->options.pollInterval;
+    if (this->lastRenewal && !this->isLeading(now)) {
+        this->lastRenewal.reset();
     }
 }
 
--- a/promise/membership.cpp
+++ b/promise/membership.cpp
@@ -4,21 +4,22 @@
 #include <iterator>
 #include <utility>
 
-// After SWIM (Das, Gupta, Motivala 2002): each period one other host is probed, in shuffled rounds, so that every host
-// is probed once a period on average and the cost of one host does not grow with the fleet. No answer: others are asked
-// to probe for us, since our own link may be at fault; no answer to them either: the host is suspected, and dead when
-// it does not refute in time. What is new rides on these messages.
+// Follows SWIM (Das, Gupta, Motivala 2002): in each period one other host is probed, in shuffled rounds, so that every
+// host is probed once a period on average and the cost per host does not grow with the fleet. If the host does not
+// acknowledge, others are asked to probe it, since our own link may be at fault. If they get no reply either, the host
+// is suspected, and declared dead unless it refutes the suspicion in time. Updates are piggybacked on these messages.
 //
-// Two states of one host: the higher incarnation wins; within one incarnation the worse state wins, so that a suspicion
-// stands until the host itself, who alone raises its incarnation, refutes it.
+// Of two states of one host, the one with the higher incarnation wins. Within one incarnation the worse state wins, so
+// that a suspicion holds until the host itself refutes it: only the host raises its incarnation.
 //
-// The platform's list of hosts lags. It names hosts to probe and hosts that leave; it never makes one alive or dead.
+// The platform's list of hosts lags. It names hosts to probe and hosts that leave; it never marks a host alive or dead.
 //
-// Rumours go out a bounded number of times and may miss a host that was cut off meanwhile. So whatever room they leave
-// is filled with all facts and members in turn; a host that comes back has all of them within seconds.
+// Gossip is sent a bounded number of times and may miss a host that is partitioned meanwhile. The remaining room is
+// therefore filled with all facts and members round robin, so that a host that reconnects has all of them within
+// seconds.
 //
-// Rejected: heartbeats between all (340 x 339 a second); the table as a heartbeat board (340 writes a second, and the
-// store may be down when membership matters most).
+// Rejected: heartbeats between all hosts (340 x 339 a second); heartbeats in the table (340 writes a second, and the
+// store may be unavailable when membership matters most).
 
 namespace fescuesill
 {
@@ -58,7 +59,7 @@
             }
             continue;
         }
-        if (this->peers.count(info.host) == 0 && this->peers.size() >= this->options.mostMembers) {
+        if (this->peers.count(info.host) == 0 && this->peers.size() >= this->options.maxMembers) {
             continue;
         }
         const auto [found, inserted] = this->peers.try_emplace(info.host);
@@ -68,7 +69,7 @@
             peer.info.state = MemberState::Alive;
             peer.info.incarnation = 0;
             peer.since = now;
-            peer.sent = this->timesToSend(); // hearsay of the platform is not passed on
+            peer.sent = this->timesToSend(); // the platform's list is not gossiped
         }
         peer.listed = true;
         peer.listedLeaving = leaving;
@@ -79,13 +80,13 @@
 {
     std::vector<ProbeMessage> out;
     if (now - this->lastTick > this->options.period) {
-        this->forgive(now);
+        this->restartTimers(now);
     }
     this->lastTick = now;
     this->expire(now);
     this->pushUrgent(out);
     if (this->pending && !this->pending->indirect && now - this->pending->sentAt >= this->options.ackWait) {
-        this->askOthers(out);
+        this->sendIndirectProbes(out);
     }
     if (now >= this->nextProbe) {
         this->suspectPending(now);
@@ -99,7 +100,7 @@
 {
     std::vector<ProbeMessage> out;
     if (in.to != this->me.host) {
-        return out; // an address that another host had before
+        return out; // this address belonged to another host before
     }
     for (const MemberInfo &info : in.members) {
         this->apply(info, now);
@@ -119,7 +120,7 @@
         break;
     case ProbeKind::IndirectAck:
         if (this->pending && this->pending->sequence == in.sequence && this->pending->target == in.target) {
-            this->noteProbe(true);
+            this->recordProbe(true);
         }
         break;
     }
@@ -139,18 +140,18 @@
 void Membership::applyFact(const Fact &fact, Instant now)
 {
     const bool isNewer = this->board.apply(fact, now);
-    this->hasUrgentNews = this->hasUrgentNews || (isNewer && fact.urgent);
+    this->hasUrgentUpdate = this->hasUrgentUpdate || (isNewer && fact.urgent);
 }
 
-// Failure: the table fails right after a change, and one probe a second with room for a few facts is all that tells the
-// others. It shows as hosts that work under the old text for minutes. A push is a probe to a random host that nobody
-// waits for: its answer brings that host's news back.
+// Without pushes, a change right before the table fails would spread only by one probe a second with room for a few
+// facts, and hosts would use the old configuration for minutes. A push is a probe to a random host whose reply is not
+// waited for; the reply carries that host's updates.
 void Membership::pushUrgent(std::vector<ProbeMessage> &out)
 {
-    if (!this->hasUrgentNews || this->peers.empty()) {
+    if (!this->hasUrgentUpdate || this->peers.empty()) {
         return;
     }
-    this->hasUrgentNews = false;
+    this->hasUrgentUpdate = false;
     std::vector<HostId> targets;
     for (const auto &[host, peer] : this->peers) {
         targets.push_back(host);
@@ -227,30 +228,30 @@
     }
     const auto found = this->peers.find(info.host);
     if (found == this->peers.end()) {
-        if (info.state != MemberState::Dead && this->peers.size() < this->options.mostMembers) {
+        if (info.state != MemberState::Dead && this->peers.size() < this->options.maxMembers) {
             Peer peer;
             peer.info = info;
             peer.since = now;
-            peer.heard = true;
+            peer.reportedByHost = true;
             this->peers.emplace(info.host, peer);
         }
         return;
     }
     Peer &peer = found->second;
-    const bool firstHeard = !peer.heard && isHeardAlive(info.state);
+    const bool firstReported = !peer.reportedByHost && isAliveOrLeaving(info.state);
     if (overrides(info, peer.info)) {
         const MemberState state = info.state;
         peer.info = info;
         this->setState(peer, state, now);
     }
-    peer.heard = peer.heard || firstHeard;
+    peer.reportedByHost = peer.reportedByHost || firstReported;
 }
 
 void Membership::applySelf(const MemberInfo &info)
 {
-    const bool doubted = !isHeardAlive(info.state) && info.incarnation >= this->me.incarnation;
-    const bool earlierLife = info.incarnation > this->me.incarnation;
-    if (doubted || earlierLife) {
+    const bool isSuspected = !isAliveOrLeaving(info.state) && info.incarnation >= this->me.incarnation;
+    const bool isFromEarlierProcess = info.incarnation > this->me.incarnation;
+    if (isSuspected || isFromEarlierProcess) {
         this->me.incarnation = info.incarnation + 1;
     }
 }
@@ -258,21 +259,21 @@
 void Membership::onAck(const ProbeMessage &ack, std::vector<ProbeMessage> &out)
 {
     if (this->pending && this->pending->sequence == ack.sequence && this->pending->target == ack.from) {
-        this->noteProbe(true);
+        this->recordProbe(true);
         return;
     }
     const auto relay = this->relays.find(ack.sequence);
     if (relay == this->relays.end()) {
         return;
     }
-    out.push_back(this->message(ProbeKind::IndirectAck, relay->second.asker, relay->second.askerSequence));
+    out.push_back(this->message(ProbeKind::IndirectAck, relay->second.requester, relay->second.requesterSequence));
     out.back().target = ack.from;
     this->relays.erase(relay);
 }
 
 void Membership::onIndirectProbe(const ProbeMessage &request, Instant now, std::vector<ProbeMessage> &out)
 {
-    if (this->relays.size() >= this->options.mostRelays || this->peers.count(request.target) == 0) {
+    if (this->relays.size() >= this->options.maxRelays || this->peers.count(request.target) == 0) {
         return;
     }
     ++this->lastSequence;
@@ -287,9 +288,9 @@
     peer.sent = 0;
 }
 
-// Failure: this process was frozen and thaws. It shows as a host that at once suspects whom it had probed and buries
-// whom it had suspected, though it was itself that did not listen. What it waited for does not count.
-void Membership::forgive(Instant now)
+// After this process was suspended, timeouts that expired meanwhile do not count. Otherwise it would at once suspect
+// the host that it had probed and declare suspected hosts dead, although it was itself not receiving.
+void Membership::restartTimers(Instant now)
 {
     this->pending.reset();
     this->recentProbes.clear();
@@ -318,7 +319,7 @@
     }
 }
 
-void Membership::noteProbe(bool answered)
+void Membership::recordProbe(bool answered)
 {
     this->pending.reset();
     this->recentProbes.push_back(answered);
@@ -333,18 +334,18 @@
         return;
     }
     const auto peer = this->peers.find(this->pending->target);
-    this->noteProbe(false);
-    if (peer != this->peers.end() && isHeardAlive(peer->second.info.state)) {
+    this->recordProbe(false);
+    if (peer != this->peers.end() && isAliveOrLeaving(peer->second.info.state)) {
         this->setState(peer->second, MemberState::Suspect, now);
     }
 }
 
-void Membership::askOthers(std::vector<ProbeMessage> &out)
+void Membership::sendIndirectProbes(std::vector<ProbeMessage> &out)
 {
     this->pending->indirect = true;
     std::vector<HostId> candidates;
     for (const auto &[host, peer] : this->peers) {
-        if (isHeardAlive(peer.info.state) && host != this->pending->target) {
+        if (isAliveOrLeaving(peer.info.state) && host != this->pending->target) {
             candidates.push_back(host);
         }
     }
@@ -368,8 +369,8 @@
     out.push_back(this->message(ProbeKind::Probe, *target, this->lastSequence));
 }
 
-// Rounds in shuffled order: every host is probed within two rounds, whatever the luck. The dead are probed too until
-// they are forgotten, so that the two sides of a healed cut find each other.
+// Probes the hosts in rounds of shuffled order, so that every host is probed within two rounds. Dead hosts are probed
+// too until they are removed, so that the two sides of a healed partition find each other.
 std::optional<HostId> Membership::nextTarget()
 {
     for (int round = 0; round < 2; ++round) {
