--- a/programs/entry/modelcall.cpp
+++ b/programs/entry/modelcall.cpp
@@ -66,12 +66,12 @@
     this->sink.onOutput = [this](Tokens output) {
         this->placing.decoding(this->stream, this->decodeEngine, output);
     };
-    this->reply.onGone([this] { this->onGone(); });
+    this->reply.onCallerGone([this] { this->onGone(); });
 }
 
 ModelCall::~ModelCall()
 {
-    this->reply.onGone({});
+    this->reply.onCallerGone({});
 }
 
 void ModelCall::onGone()
--- a/programs/entry/placing.cpp
+++ b/programs/entry/placing.cpp
@@ -269,7 +269,7 @@
 
 void Placing::prefillDone(const PrefillAnswer &answer)
 {
-    this->send(peer::PrefillDone{this->job.request, answer.read, answer.reused, answer.keep});
+    this->send(peer::PrefillDone{this->job.request, answer.computed, answer.reused, answer.keep});
 }
 
 void Placing::prefillFailed(PrefillFault fault)
--- a/programs/entry/resumecall.cpp
+++ b/programs/entry/resumecall.cpp
@@ -54,9 +54,9 @@
     const AnswerWriter writer(*kind, engine->model.value(), point->grant.request, sharedNow().time_since_epoch() / 1s);
     PumpSink sink{reply, writer, true, Tokens(std::numeric_limits<std::int64_t>::max()), point->next};
     StreamPump pump(services, {engine->address, point->grant.stream, tokens->mint(point->grant)}, sink);
-    reply.onGone([&pump] { pump.abandon(); });
+    reply.onCallerGone([&pump] { pump.abandon(); });
     const PumpEnd end = pump.run(std::nullopt, yield);
-    reply.onGone({});
+    reply.onCallerGone({});
 
     const CellRoute *const route = view.findRoute(cellOf(*engine));
     const peer::Finished finished{point->grant.request, peer::RequestOutcome::Completed, Tokens(0)};
--- a/programs/entry/shard.cpp
+++ b/programs/entry/shard.cpp
@@ -128,7 +128,7 @@
     const EntrySettings &settings = this->services.settings;
     HttpServer::Options options;
     options.address = settings.callers;
-    options.isShared = true;
+    options.reusePort = true;
     options.connections = std::max<std::size_t>(settings.connections / settings.ioThreads, 1);
     options.bodyLimit = settings.bodyLimit;
     options.stallLimit = settings.stallLimit;
@@ -215,7 +215,7 @@
 void Shard::route(HttpCall &call, HttpReply &reply, const asio::yield_context &yield)
 {
     if (this->services.state.isDraining()) {
-        reply.closeAfter();
+        reply.closeAfterReply();
     }
     const std::shared_ptr<const EntryView> view = this->services.links.view();
     if (const auto refusal = this->refusalForNew(*view)) {
--- a/programs/entry/streampump.h
+++ b/programs/entry/streampump.h
@@ -3,7 +3,7 @@
 // Carries one generation from its engine to its caller until it is whole, or cannot go on.
 //
 //     StreamPump pump(services, source, sink);
-//     reply.onGone([&] { pump.abandon(); });
+//     reply.onCallerGone([&] { pump.abandon(); });
 //     switch (pump.run(yield)) { case PumpEnd::Whole: ... case PumpEnd::EngineLost: ... }
 
 #include "programs/entry/answerwriter.h"
--- a/programs/gateway/gatewayprogram.cpp
+++ b/programs/gateway/gatewayprogram.cpp
@@ -161,7 +161,7 @@
 void Gateway::serve(HttpCall &call, HttpReply &reply, const asio::yield_context &yield)
 {
     if (!this->draining.isReady()) {
-        reply.closeAfter(); // its caller's next connection goes to a host that stays
+        reply.closeAfterReply(); // its caller's next connection goes to a host that stays
     }
     // A generation lasts seconds: one taken late in the time to stop would be cut off when it ends.
     if (!this->draining.admits(steadyNow())) {
--- a/programs/gateway/generationforward.cpp
+++ b/programs/gateway/generationforward.cpp
@@ -198,7 +198,7 @@
     if (this->isStarted) {
         return Ended::Broken;
     }
-    this->call.reply.onGone({});
+    this->call.reply.onCallerGone({});
     this->call.reply.forward(head.status, body, head.headers, yield);
     return Ended::Whole;
 }
@@ -392,14 +392,14 @@
 
 void GenerationForward::finish(Ended ended, const asio::yield_context &yield)
 {
-    this->call.reply.onGone({});
+    this->call.reply.onCallerGone({});
     if (ended == Ended::Whole) {
         this->logEnd("whole");
         return;
     }
     if (this->isStarted) {
         this->logEnd("broken_off");
-        this->call.reply.cut();
+        this->call.reply.abort();
         return;
     }
     this->logEnd(ended == Ended::Broken ? "failed" : "refused");
@@ -420,7 +420,7 @@
 {
     const auto &services = this->call.services;
     const RequestId &id = this->call.head.id;
-    this->call.reply.onGone([this, &services, &id] {
+    this->call.reply.onCallerGone([this, &services, &id] {
         this->abort.abort();
         services.gates.wake(id);
     });
@@ -437,7 +437,7 @@
         this->report(peer::PlaceEvent::Ended);
         this->finish(ended, yield);
     } catch (const CallerGone &) {
-        this->call.reply.onGone({});
+        this->call.reply.onCallerGone({});
         this->report(peer::PlaceEvent::Ended);
         this->logEnd("caller_gone");
         throw;
--- a/programs/gateway/plainforward.cpp
+++ b/programs/gateway/plainforward.cpp
@@ -166,7 +166,7 @@
 
 void PlainForward::finish(Sent last, const asio::yield_context &yield)
 {
-    this->call.reply.onGone({});
+    this->call.reply.onCallerGone({});
     if (this->abort.isAborted()) {
         this->call.services.metrics.onPlainEnd("caller_gone", steadyNow() - this->call.arrival);
         this->logGone();
@@ -182,7 +182,7 @@
 
 void PlainForward::run(const asio::yield_context &yield)
 {
-    this->call.reply.onGone([this] { this->abort.abort(); });
+    this->call.reply.onCallerGone([this] { this->abort.abort(); });
     this->call.services.fleet.budget(this->call.service).onSuccess();
     Sent last = Sent::NeverSent;
     while (const auto endpoint = this->choose(steadyNow())) {
--- a/wire/engineclient.cpp
+++ b/wire/engineclient.cpp
@@ -249,7 +249,7 @@
     return readReply(response, [](const Json &json) {
         PrefillAnswer answer;
         answer.kv = KvId(json.at("kv_id").get<std::string>());
-        answer.read = Tokens(json.at("tokens_read").get<std::int64_t>());
+        answer.computed = Tokens(json.at("tokens_read").get<std::int64_t>());
         answer.reused = Tokens(json.at("tokens_reused").get<std::int64_t>());
         answer.keep = milliseconds(json, "keep_ms");
         return answer;
--- a/wire/engineclient.h
+++ b/wire/engineclient.h
@@ -72,7 +72,7 @@
 
 struct PrefillAnswer {
     KvId kv;
-    Tokens read;
+    Tokens computed;
     Tokens reused;
     Duration keep{0};
 };
--- a/wire/httpserver.cpp
+++ b/wire/httpserver.cpp
@@ -157,18 +157,18 @@
     this->connection.send(text, yield);
 }
 
-void HttpReply::cut()
+void HttpReply::abort()
 {
     this->connection.keepAlive = false;
     this->connection.close();
 }
 
-void HttpReply::onGone(std::function<void()> callback)
+void HttpReply::onCallerGone(std::function<void()> callback)
 {
     this->connection.watch(std::move(callback));
 }
 
-void HttpReply::closeAfter()
+void HttpReply::closeAfterReply()
 {
     this->connection.keepAlive = false;
 }
@@ -234,7 +234,7 @@
         const tcp::endpoint endpoint(asio::ip::make_address(address->ip), address->port);
         state->acceptor.open(endpoint.protocol());
         state->acceptor.set_option(tcp::acceptor::reuse_address(true));
-        if (state->options.isShared) {
+        if (state->options.reusePort) {
             state->acceptor.set_option(asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>(true));
         }
         state->acceptor.bind(endpoint);
--- a/wire/httpserver.h
+++ b/wire/httpserver.h
@@ -12,7 +12,7 @@
 // A stream is written piece by piece. There is no buffer behind it: write() waits until the kernel has taken the piece,
 // so a slow reader holds up its own stream and no memory, and one that takes nothing for stallLimit counts as gone.
 //
-//     reply.onGone([&] { lines.close(); });
+//     reply.onCallerGone([&] { lines.close(); });
 //     reply.startStream(200, yield);
 //     while (lines.read(batch, limit, yield)) { reply.write(events(batch), yield); }
 //     reply.finish(yield);
@@ -70,14 +70,14 @@
     // The same for a body that is still to come; goes on with write() and ends with finish().
     void startForward(int status, const std::vector<HttpHeader> &headers, const asio::yield_context &yield);
     // Ends the connection in the middle of an answer, so that what was sent of it does not look whole.
-    void cut();
+    void abort();
 
     // Called once, from a handler of the same thread, when the caller closes its end; also when it only closes its
     // sending half, which callers of this protocol do not do. Reset by an empty function.
-    void onGone(std::function<void()> callback);
+    void onCallerGone(std::function<void()> callback);
     bool isStarted() const;
     // The connection ends with this answer: its caller opens the next one, at a host that is not stopping.
-    void closeAfter();
+    void closeAfterReply();
 
 private:
     ServerConnection &connection;
@@ -90,7 +90,7 @@
 
     struct Options {
         std::string address = {}; // IP:PORT; port 0 lets the kernel choose
-        bool isShared = false; // several servers of this process listen on the same port (SO_REUSEPORT)
+        bool reusePort = false; // several servers of this process listen on the same port (SO_REUSEPORT)
         // A coroutine takes 9 KB and one memory map; the kernel's limit on maps comes soon after 30,000.
         std::size_t connections = 20000;
         Bytes headerLimit{16 << 10}; // tokens and keys take under 1 KB
--- a/wire/testing/httpserver_test.cpp
+++ b/wire/testing/httpserver_test.cpp
@@ -113,7 +113,7 @@
     std::promise<void> gone;
     const ServedThread served(smallLimits(), [&](HttpCall &, HttpReply &reply, const asio::yield_context &yield) {
         asio::steady_timer silentEngine(asio::get_associated_executor(yield.handler_), std::chrono::hours(1));
-        reply.onGone([&] { silentEngine.cancel(); });
+        reply.onCallerGone([&] { silentEngine.cancel(); });
         reply.startStream(200, yield);
         boost::system::error_code cancelled;
         silentEngine.async_wait(yield[cancelled]);
