--- a/wire/address.h
+++ b/wire/address.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// IP:PORT, as settings and host lists write it.
+// A numeric address and port, in the IP:PORT form used by settings and host lists.
 //
-//     const auto address = Address::parse("10.0.0.1:8080");     // WireError for names, blanks, missing ports
+//     const auto address = Address::parse("10.0.0.1:8080");     // WireError for host names, spaces and missing ports
 
 #include "wire/wireerror.h"
 
--- a/wire/adminserver.cpp
+++ b/wire/adminserver.cpp
@@ -20,11 +20,11 @@
 #include <sstream>
 #include <thread>
 
-// One thread, one coroutine for each connection. Readiness is an atomic flag set by the process; the status and drain
-// functions belong to the process and must be safe to call from this thread.
+// One thread runs one coroutine for each connection. Readiness is an atomic flag set by the process. The callbacks in
+// Options are called on this thread, so the process must make them safe for that.
 //
-// Whatever is not a read needs the proof, before its target is looked at: a command that is added later is covered
-// without a line of its own.
+// Every request other than GET and HEAD needs a proof, which is checked before the target is examined. A command that
+// is added later is therefore protected without code of its own.
 
 namespace fescuesill
 {
@@ -38,14 +38,16 @@
 using HttpRequest = http::request<http::string_body>;
 using HttpResponse = http::response<http::string_body>;
 
-// Scrapes and operators are few. The bound keeps a broken scraper that never closes from taking all descriptors.
+// Only scrapers and operators connect here, so few connections are needed. The bound keeps a broken scraper that never
+// closes its connections from exhausting the file descriptors.
 constexpr int maxConnections = 64;
-// A record of the declaration, whose text is bounded by 512 KB, with its escapes; nothing else has a body of note. Read
-// only once the header has proved an operator, so that no stranger fills this process.
-constexpr std::size_t maxBody = 2 << 20;
-// A connection that says nothing is closed, so that dead scrapers free their place.
+// Holds a record of the declaration, whose text is at most 512 KB, with its JSON escapes; other requests have small
+// bodies. A body is read only after the proof in the header has been checked, so that an unauthenticated client can't
+// fill the memory of this process.
+constexpr std::size_t maxBodyBytes = 2 << 20;
+// Idle connections are closed, so that dead scrapers don't count towards maxConnections.
 constexpr auto idleLimit = std::chrono::seconds(30);
-constexpr auto acceptPause = std::chrono::milliseconds(100);
+constexpr auto acceptRetryDelay = std::chrono::milliseconds(100);
 
 } // namespace
 
@@ -96,8 +98,8 @@
             this->acceptor.async_accept(*socket, yield[failed]);
             if (failed) {
                 Log::warning("admin_accept_failed", {{"error", failed.message()}});
-                asio::steady_timer pause(this->context, acceptPause);
-                pause.async_wait(yield[failed]);
+                asio::steady_timer retryTimer(this->context, acceptRetryDelay);
+                retryTimer.async_wait(yield[failed]);
             } else if (this->connections < maxConnections) {
                 asio::spawn(this->context, [this, socket](const asio::yield_context &inner) {
                     this->serve(std::move(*socket), inner);
@@ -114,7 +116,7 @@
         boost::system::error_code failed;
         for (;;) {
             http::request_parser<http::string_body> parser;
-            parser.body_limit(maxBody);
+            parser.body_limit(maxBodyBytes);
             stream.expires_after(idleLimit);
             http::async_read_header(stream, buffer, parser, yield[failed]);
             if (failed) {
@@ -122,7 +124,7 @@
             }
             const std::optional<OperatorFault> fault = this->faultOf(parser.get());
             if (fault) {
-                this->noteRefused(stream.socket(), *fault);
+                this->recordRefusal(stream.socket(), *fault);
             } else {
                 http::async_read(stream, buffer, parser, yield[failed]);
             }
@@ -153,10 +155,10 @@
         return checkOperatorProof(*this->options.operators, command, {given.data(), given.size()}, sharedNow());
     }
 
-    void noteRefused(const tcp::socket &socket, OperatorFault fault)
+    void recordRefusal(const tcp::socket &socket, OperatorFault fault)
     {
-        boost::system::error_code gone;
-        const std::string from = socket.remote_endpoint(gone).address().to_string();
+        boost::system::error_code ignored;
+        const std::string from = socket.remote_endpoint(ignored).address().to_string();
         this->refused.Add({{"cause", faultName(fault)}}).Increment();
         this->refusals.note(from, faultName(fault), steadyNow());
     }
@@ -200,10 +202,10 @@
 
     void answerConfig(const HttpRequest &request, HttpResponse &response) const
     {
-        const bool isWhole = configPushTarget(request.body()) == request.target();
-        const bool isTaken = isWhole && this->options.config && this->options.config(request.body());
-        response.result(isTaken ? http::status::ok : http::status::bad_request);
-        response.body() = isTaken ? "taken\n" : "not a record that this process takes\n";
+        const bool matchesTarget = configPushTarget(request.body()) == request.target();
+        const bool isAccepted = matchesTarget && this->options.config && this->options.config(request.body());
+        response.result(isAccepted ? http::status::ok : http::status::bad_request);
+        response.body() = isAccepted ? "taken\n" : "configuration record not accepted\n";
     }
 
     std::string metrics() const
--- a/wire/adminserver.h
+++ b/wire/adminserver.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// The admin port of a process: health, readiness, metrics, status, planned stop. It has a thread of its own, so it
-// still answers when every other duty is busy. Reads are open; commands need an operator's proof where keys are set.
+// The admin port of a process: health, readiness, metrics, status and planned stop. It runs on its own thread, so it
+// responds even while the other threads of the process are busy. GET and HEAD are open to everyone; commands require an
+// operator's proof if operator keys are configured.
 //
 //     AdminServer::Options options;
 //     options.address = "127.0.0.1:8082";
@@ -30,11 +31,12 @@
         std::string address; // IP:PORT
         std::function<std::string()> status; // JSON; called on the admin thread
         std::function<void()> drain; // called on the admin thread
-        // Takes a version that the operator's command hands over; false: not taken. Null: this process takes none.
+        // Applies a configuration record that an operator's command has posted and returns whether it was accepted.
+        // If null, this process accepts no configuration.
         std::function<bool(const std::string &record)> config = {};
-        // Whoever changes state proves that he holds an operator's key; null: nobody is asked.
+        // Keys that the proofs of commands are checked against. If null, commands need no proof.
         std::shared_ptr<const KeyRing> operators = {};
-        HostId host = {}; // this process, as proofs name it
+        HostId host = {}; // with `process`, the target of a command that its proof must name
         std::string process = {};
     };
 
@@ -44,7 +46,7 @@
     AdminServer(const AdminServer &) = delete;
     AdminServer &operator=(const AdminServer &) = delete;
 
-    // What /readyz answers: 200 or 503. Safe on any thread.
+    // Sets whether /readyz responds with 200 or 503. Thread-safe.
     void setReady(bool ready);
 
 private:
--- a/wire/decodeline.cpp
+++ b/wire/decodeline.cpp
@@ -1,5 +1,6 @@
-// A decode line comes for every token, so its usual form, {"offset":N,"text":"…"} without a backslash, is read by
-// hand; everything else goes to the JSON library. The text's JSON form is kept as it is for the caller.
+// Parses one line of a decode stream. An engine sends a line for every token, so the common form
+// {"offset":N,"text":"…"}, whose text is ASCII without escapes, is parsed by hand as a fast path. Every other line goes
+// to the JSON library. The JSON form of the text is kept, because it is relayed to the caller as it is.
 
 #include "wire/engineclient.h"
 
@@ -17,8 +18,8 @@
 constexpr std::string_view textStart = ",\"text\":\"";
 constexpr std::string_view lineEnd = "\"}";
 
-// Empty where the line is not of the usual form.
-std::optional<DecodeFragment> readUsual(std::string_view line)
+// Returns nothing if the line does not have the common form.
+std::optional<DecodeFragment> parseCommonForm(std::string_view line)
 {
     if (line.substr(0, lineStart.size()) != lineStart) {
         return std::nullopt;
@@ -39,7 +40,7 @@
     for (const char c : text) {
         const auto byte = static_cast<unsigned char>(c);
         if (c == '"' || c == '\\' || byte < 0x20 || byte >= 0x80) {
-            return std::nullopt; // escapes, faults and UTF-8 are for the library to check
+            return std::nullopt; // the JSON library handles escapes, invalid characters and UTF-8
         }
     }
     DecodeFragment fragment;
@@ -69,8 +70,8 @@
     while (!line.empty() && (line.back() == '\n' || line.back() == '\r')) {
         line.remove_suffix(1);
     }
-    if (auto usual = readUsual(line)) {
-        return std::move(*usual);
+    if (auto fragment = parseCommonForm(line)) {
+        return std::move(*fragment);
     }
     try {
         const Json json = Json::parse(line);
--- a/wire/engineclient.cpp
+++ b/wire/engineclient.cpp
@@ -1,8 +1,10 @@
-// Statuses become faults by the contract's `error` word, not by the number alone: 503 means "queue full" of a prefill
-// and "no memory" of a decode. What is in no contract is BadEngineReply, never a guess.
+// Error responses are mapped to faults by the `error` field that the engine contract defines, not by the status alone:
+// 503 means "queue full" for a prefill and "no memory" for a decode. Any response outside the contract becomes
+// BadEngineReply.
 //
-// A decode goes out on a new connection: started twice it would hold memory twice, and only a call that is never
-// repeated behind the caller's back makes "known not sent" mean anything. A prefill may be repeated; it costs a read.
+// A decode always uses a new connection. A decode that was started twice would hold memory twice, and
+// Unreachable::isKnownNotSent is only meaningful for a call that the HTTP client never retries by itself. A prefill may
+// be retried; the cost is a second prefill.
 
 #include "wire/engineclient.h"
 
@@ -28,42 +30,42 @@
         return "engine unreachable: " + unreachable->text;
     }
     if (const auto *bad = std::get_if<BadEngineReply>(&fault)) {
-        return "engine reply: " + bad->text;
+        return "unexpected engine reply: " + bad->text;
     }
     constexpr const char *names[] = {"queue full", "no memory", "KV gone", "no stream", "stale fencing number"};
     return names[fault.index()];
 }
 
-[[noreturn]] void throwFor(int status, const std::string &body)
+[[noreturn]] void throwFault(int status, const std::string &body)
 {
     const Json json = Json::parse(body, nullptr, false);
-    const std::string word = json.is_object() ? json.value("error", std::string()) : std::string();
-    if (word == "queue_full") {
+    const std::string code = json.is_object() ? json.value("error", std::string()) : std::string();
+    if (code == "queue_full") {
         throw EngineError(QueueFull{});
     }
-    if (word == "no_memory") {
+    if (code == "no_memory") {
         throw EngineError(NoMemory{});
     }
-    if (word == "kv_gone") {
+    if (code == "kv_gone") {
         throw EngineError(KvGone{});
     }
-    if (word == "no_stream") {
+    if (code == "no_stream") {
         throw EngineError(NoStream{});
     }
-    if (word == "stale_fencing") {
+    if (code == "stale_fencing") {
         throw EngineError(StaleFencing{FencingNumber(json.value("seen", std::int64_t(0)))});
     }
-    throw EngineError(BadEngineReply{fmt::format("status {} {}", status, word)});
+    throw EngineError(BadEngineReply{fmt::format("status {} {}", status, code)});
 }
 
-template<typename Reader>
-auto readReply(const HttpResponse &response, Reader reader)
+template<typename Parse>
+auto parseReply(const HttpResponse &response, Parse parse)
 {
     if (response.status != statusOk) {
-        throwFor(response.status, response.body);
+        throwFault(response.status, response.body);
     }
     try {
-        return reader(Json::parse(response.body));
+        return parse(Json::parse(response.body));
     } catch (const Json::exception &error) {
         throw EngineError(BadEngineReply{error.what()});
     }
@@ -233,7 +235,7 @@
     try {
         LineStream lines = this->client.open(address, request, {this->options.attachDeadline, Reuse::Never}, yield);
         if (lines.status() != statusOk) {
-            throwFor(lines.status(), lines.readAll(this->options.attachDeadline, yield));
+            throwFault(lines.status(), lines.readAll(this->options.attachDeadline, yield));
         }
         return DecodeStream(std::move(lines));
     } catch (const HttpError &error) {
@@ -246,7 +248,7 @@
 {
     const HttpResponse response = this->call(address, {"POST", "/v1/prefill", prefillBody(call)},
                                              {this->options.prefillDeadline, Reuse::Allowed, &abort}, yield);
-    return readReply(response, [](const Json &json) {
+    return parseReply(response, [](const Json &json) {
         PrefillAnswer answer;
         answer.kv = KvId(json.at("kv_id").get<std::string>());
         answer.computed = Tokens(json.at("tokens_read").get<std::int64_t>());
@@ -269,21 +271,21 @@
     return this->open(address, {"GET", target}, yield);
 }
 
-// Failure: an entry that was frozen, or slow to notice that its caller has gone, cancels a stream that the caller has
-// resumed through another entry. It shows as an answer that stops in the middle. So a cancellation names the reader
-// that it speaks for; where another reads the stream by now, the engine refuses it, and nothing is left to do for this
-// one.
-void EngineClient::cancel(const std::string &address, const StreamId &stream, const HostId &reader,
+// The cancellation names the entry that sends it. An entry that was frozen, or noticed late that its caller has
+// disconnected, could otherwise cancel a stream that the caller has since resumed through another entry, and the answer
+// would stop in the middle. If another entry reads the stream, the engine responds with 409 and this entry has nothing
+// left to cancel.
+void EngineClient::cancel(const std::string &address, const StreamId &stream, const HostId &entry,
                           const asio::yield_context &yield)
 {
     const std::string target =
-        fmt::format("/v1/streams/{}?entry={}", percentEncode(stream.value()), percentEncode(reader.value()));
+        fmt::format("/v1/streams/{}?entry={}", percentEncode(stream.value()), percentEncode(entry.value()));
     const HttpResponse response =
         this->call(address, {"DELETE", target}, {this->options.cancelDeadline, Reuse::Never}, yield);
     const bool isSettled =
         response.status == statusOk || response.status == statusNotFound || response.status == statusConflict;
     if (!isSettled) {
-        throwFor(response.status, response.body);
+        throwFault(response.status, response.body);
     }
 }
 
@@ -291,7 +293,7 @@
 {
     const HttpResponse response =
         this->call(address, {"GET", "/v1/streams"}, {this->options.reportDeadline, Reuse::Allowed}, yield);
-    return readReply(response, [](const Json &json) {
+    return parseReply(response, [](const Json &json) {
         std::vector<RunningStream> streams;
         for (const Json &stream : json.at("streams")) {
             streams.push_back(readStream(stream));
@@ -302,16 +304,16 @@
 
 EngineLoad EngineClient::load(const std::string &address, const asio::yield_context &yield)
 {
-    return readReply(this->call(address, {"GET", "/v1/load"}, {this->options.reportDeadline, Reuse::Allowed}, yield),
-                     readLoad);
+    return parseReply(this->call(address, {"GET", "/v1/load"}, {this->options.reportDeadline, Reuse::Allowed}, yield),
+                      readLoad);
 }
 
 EngineCacheEvents EngineClient::cacheEvents(const std::string &address, std::int64_t after,
                                             const asio::yield_context &yield)
 {
-    return readReply(this->call(address, {"GET", fmt::format("/v1/cache-events?after={}", after)},
-                                {this->options.reportDeadline, Reuse::Allowed}, yield),
-                     readCacheEvents);
+    return parseReply(this->call(address, {"GET", fmt::format("/v1/cache-events?after={}", after)},
+                                 {this->options.reportDeadline, Reuse::Allowed}, yield),
+                      readCacheEvents);
 }
 
 void EngineClient::order(const std::string &address, FencingNumber fencing, OrderKind kind, const std::string &value,
@@ -321,7 +323,7 @@
         {"fencing", fencing.value()}, {"kind", kind == OrderKind::Role ? "role" : "model"}, {"value", value}};
     const HttpResponse response =
         this->call(address, {"POST", "/v1/orders", dump(body)}, {this->options.reportDeadline, Reuse::Never}, yield);
-    readReply(response, [](const Json &json) { return json.at("fencing").get<std::int64_t>(); });
+    parseReply(response, [](const Json &json) { return json.at("fencing").get<std::int64_t>(); });
 }
 
 } // namespace fescuesill
--- a/wire/engineclient.h
+++ b/wire/engineclient.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Model engines, for the coroutines of one io_context.
+// Client for model engines, used from the coroutines of one io_context.
 //
 //     EngineClient engines(io, EngineClient::Options{});
 //     const PrefillAnswer kv = engines.prefill("127.0.0.1:8201", prefillCall, yield);
@@ -9,7 +9,7 @@
 //     while (stream.read(lines, 1s, yield)) { ... std::visit(...) each ... }
 //     engines.cancel("127.0.0.1:8202", decodeCall.stream, decodeCall.entry, yield);
 //
-// Every call throws EngineError.
+// Every call throws EngineError on failure.
 
 #include "decide/cellmessages.h"
 #include "fescuesill/ids.h"
@@ -22,29 +22,29 @@
 namespace fescuesill
 {
 
-// 503: it takes no more prompts now.
+// 503: the engine's queue accepts no more prompts at the moment.
 struct QueueFull {
 };
-// 503: no decode memory; the prefill result is still held.
+// 503: no memory for the decode. The prefill result is still kept.
 struct NoMemory {
 };
-// 410: the prefill result has expired or is gone with its engine.
+// 410: the prefill result has expired, or was lost with its engine.
 struct KvGone {
 };
-// 404: it holds no such stream.
+// 404: the engine has no such stream.
 struct NoStream {
 };
-// 409: it has seen a higher fencing number.
+// 409: the engine has seen a higher fencing number.
 struct StaleFencing {
     FencingNumber seen;
 };
-// No answer. Where the call was not sent, nothing of it runs there.
+// No response. If the call is known not to have been sent, it does not run on the engine.
 struct Unreachable {
     HttpFault fault = HttpFault::Connect;
     bool isKnownNotSent = false;
     std::string text;
 };
-// An answer that is not in the contract.
+// A response that the engine contract does not define.
 struct BadEngineReply {
     std::string text;
 };
@@ -90,7 +90,7 @@
 
 struct DecodeFragment {
     Offset offset;
-    std::string json; // the text as a JSON string with its quotes, as it goes on to the caller
+    std::string json; // the text as a JSON string with its quotes, as it is relayed to the caller
     std::string text;
 };
 
@@ -109,15 +109,15 @@
 
 tl::expected<DecodeLine, DecodeLineError> parseDecodeLine(std::string_view line);
 
-// Lines of one generation as they come.
+// The lines of one generation, read as they arrive.
 class DecodeStream
 {
 public:
     explicit DecodeStream(LineStream lines);
 
-    // Waits for one line and gives all that have arrived. False where the connection ended.
+    // Waits for at least one line and returns all that have arrived. Returns false if the connection has ended.
     bool read(std::vector<DecodeLine> &lines, Duration limit, const asio::yield_context &yield);
-    // A read that waits ends with Unreachable.
+    // Closes the connection. A pending read ends with Unreachable.
     void close();
 
 private:
@@ -146,7 +146,7 @@
     std::string instance;
 };
 
-// As the deciders take it.
+// Converts the load to the form that the decision code uses.
 LoadReport loadReport(const EngineLoad &load);
 
 struct EngineCacheEvent {
@@ -170,24 +170,25 @@
 public:
     struct Options {
         HttpClient::Options http = {};
-        Duration prefillDeadline{20s}; // 9,000 tokens take under 1 s; the rest is the engine's queue
-        Duration attachDeadline{2s}; // to the first byte of a stream: the transfer of the KV is within it
+        Duration prefillDeadline{20s}; // 9,000 tokens take under 1 s; the rest is time in the engine's queue
+        Duration attachDeadline{2s}; // to the header of a stream's response; includes the KV transfer
         Duration cancelDeadline{1s};
         Duration reportDeadline{1s};
     };
 
     EngineClient(asio::io_context &io, const Options &options);
 
-    // Aborted, it ends with Unreachable; the engine stops reading the prompt.
+    // An aborted call throws Unreachable, and the engine stops the prefill.
     PrefillAnswer prefill(const std::string &address, const PrefillCall &call, CallAbort &abort,
                           const asio::yield_context &yield);
     DecodeStream decode(const std::string &address, const DecodeCall &call, const asio::yield_context &yield);
-    // Always on a new connection: the reason to resume may be that something forgot the old ones.
+    // Always uses a new connection, because a stream may be resumed after a device on the way has dropped the state of
+    // the existing connections.
     DecodeStream resume(const std::string &address, const StreamId &stream, Offset from, const HostId &entry,
                         const asio::yield_context &yield);
-    // Returns once the engine has confirmed that the memory is free, or that another entry than `reader` reads the
-    // stream.
-    void cancel(const std::string &address, const StreamId &stream, const HostId &reader,
+    // Returns once the engine has confirmed that the memory is free, or that an entry other than `entry` is reading
+    // the stream.
+    void cancel(const std::string &address, const StreamId &stream, const HostId &entry,
                 const asio::yield_context &yield);
     std::vector<RunningStream> list(const std::string &address, const asio::yield_context &yield);
     EngineLoad load(const std::string &address, const asio::yield_context &yield);
--- a/wire/httpclient.cpp
+++ b/wire/httpclient.cpp
@@ -1,9 +1,9 @@
-// A call takes a connection (a pooled one where that is allowed and one is at hand), writes the whole request, and
-// feeds what comes back to Beast's parser piece by piece. The request is written from one flat buffer, so "nothing was
-// sent" is simply "the write moved no byte".
+// A call takes a connection (a pooled one if reuse is allowed and one is available), writes the whole request, and
+// feeds the received bytes to Beast's parser as they arrive. The request is written from one flat buffer, so nothing
+// was sent exactly if the write transferred no bytes.
 //
-// A pooled connection can turn out to be closed by the other end only after the write. Where reuse is allowed the call
-// may be repeated, so it is, once, on a fresh connection; where it is not, every call has a connection of its own.
+// The client may learn only after the write that the server had closed a pooled connection. If reuse is allowed, the
+// call may be retried, and it is retried once on a new connection. Otherwise each call uses a new connection.
 
 #include "wire/httpclient.h"
 
@@ -17,21 +17,22 @@
 namespace
 {
 
-bool hasControl(std::string_view text)
+bool hasControlCharacter(std::string_view text)
 {
     return std::any_of(text.begin(), text.end(), [](char c) { return static_cast<unsigned char>(c) < 0x20; });
 }
 
-// A line feed in a header would let one caller's text become another request on the same connection.
-void checkClean(const HttpRequest &request)
+// Rejects an empty target, a space in the target, and control characters anywhere: a line feed in a header would let a
+// caller inject another request on the connection.
+void validateRequest(const HttpRequest &request)
 {
-    bool dirty = hasControl(request.method) || hasControl(request.target)
+    bool isInvalid = hasControlCharacter(request.method) || hasControlCharacter(request.target)
         || request.target.find(' ') != std::string::npos || request.target.empty();
     for (const HttpHeader &header : request.headers) {
-        dirty = dirty || hasControl(header.name) || hasControl(header.value);
+        isInvalid = isInvalid || hasControlCharacter(header.name) || hasControlCharacter(header.value);
     }
-    if (dirty) {
-        throw HttpError(HttpFault::Malformed, true, "control character in a request");
+    if (isInvalid) {
+        throw HttpError(HttpFault::Malformed, true, "invalid character in a request");
     }
 }
 
@@ -101,7 +102,7 @@
     while (!queue.empty()) {
         std::unique_ptr<HttpConnection> connection = std::move(queue.back().connection);
         queue.pop_back();
-        if (connection->isQuiet()) {
+        if (connection->isIdleAndOpen()) {
             connection->reused = true;
             return connection;
         }
@@ -109,9 +110,9 @@
     return nullptr;
 }
 
-void HttpClient::Pool::giveBack(std::unique_ptr<HttpConnection> connection)
+void HttpClient::Pool::release(std::unique_ptr<HttpConnection> connection)
 {
-    if (!connection->mayBeKept() || this->options.idlePerAddress == 0) {
+    if (!connection->canBeReused() || this->options.idlePerAddress == 0) {
         return;
     }
     auto &queue = this->idle[connection->address];
@@ -131,11 +132,11 @@
         this->idle.clear();
     }
     if (this->open >= this->options.connections) {
-        throw HttpError(HttpFault::Busy, true, "bound on connections reached");
+        throw HttpError(HttpFault::Busy, true, "maximum number of connections reached");
     }
     const auto parsed = Address::parse(address);
     if (!parsed) {
-        throw HttpError(HttpFault::Connect, true, fmt::format("not an address: {}", address));
+        throw HttpError(HttpFault::Connect, true, fmt::format("invalid address: {}", address));
     }
     const tcp::endpoint endpoint(asio::ip::make_address(parsed->ip), parsed->port);
     auto connection = std::make_unique<HttpConnection>(this->shared_from_this(), address);
@@ -176,7 +177,7 @@
 
 HttpClient::~HttpClient()
 {
-    // Idle connections hold the pool and the pool holds them.
+    // The pool and its idle connections own each other; this breaks the cycle.
     const auto idle = std::move(this->pool->idle);
     this->pool->idle.clear();
     this->pool->options.idlePerAddress = 0;
@@ -185,7 +186,7 @@
 HttpResponse HttpClient::call(const std::string &address, const HttpRequest &request, const CallOptions &options,
                               const asio::yield_context &yield)
 {
-    checkClean(request);
+    validateRequest(request);
     const SteadyTime deadline = std::chrono::steady_clock::now() + options.deadline;
     auto connection =
         this->pool->exchange(address, serialize(address, request), request.method == "HEAD", options, deadline, yield);
@@ -194,7 +195,7 @@
     connection->partial.clear();
     const SteadyTime bodyEnd = std::chrono::steady_clock::now() + (options.body ? options.body->total : Duration(0));
     const auto bodyDeadline = [&] {
-        return options.body ? std::min(bodyEnd, std::chrono::steady_clock::now() + options.body->pause) : deadline;
+        return options.body ? std::min(bodyEnd, std::chrono::steady_clock::now() + options.body->idle) : deadline;
     };
     while (connection->readSome(response.body, bodyDeadline(), yield)) {
         if (response.body.size() > static_cast<std::size_t>(this->pool->options.bodyLimit.value())) {
@@ -202,14 +203,14 @@
         }
     }
     connection->setAbort(nullptr);
-    this->pool->giveBack(std::move(connection));
+    this->pool->release(std::move(connection));
     return response;
 }
 
 LineStream HttpClient::open(const std::string &address, const HttpRequest &request, const CallOptions &options,
                             const asio::yield_context &yield)
 {
-    checkClean(request);
+    validateRequest(request);
     const SteadyTime deadline = std::chrono::steady_clock::now() + options.deadline;
     return LineStream(this->pool->exchange(address, serialize(address, request), false, options, deadline, yield));
 }
@@ -269,10 +270,10 @@
 
 bool LineStream::readSome(std::string &out, Duration limit, const asio::yield_context &yield)
 {
-    std::string &early = this->connection->partial; // came with the header
-    if (!early.empty()) {
-        out += early;
-        early.clear();
+    std::string &buffered = this->connection->partial; // arrived together with the header
+    if (!buffered.empty()) {
+        out += buffered;
+        buffered.clear();
         return true;
     }
     const std::size_t before = out.size();
--- a/wire/httpclient.h
+++ b/wire/httpclient.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// HTTP/1.1 client with a pool of connections, for the coroutines of one io_context. Not shared between threads.
+// HTTP/1.1 client with a connection pool, used from the coroutines of one io_context. Not thread-safe.
 //
 //     HttpClient client(io, HttpClient::Options{});
 //     asio::spawn(io, [&](asio::yield_context yield) {
@@ -8,14 +8,14 @@
 //         try {
 //             const HttpResponse response = client.call("127.0.0.1:8101", request, {2s, Reuse::Never}, yield);
 //         } catch (const HttpError &error) {
-//             if (error.isKnownNotSent()) { ... nothing of it left this process: another endpoint may be asked ... }
+//             if (error.isKnownNotSent()) { ... nothing was sent, so another endpoint may be tried ... }
 //         }
 //     });
 //
-// A body of JSON lines is read as it comes:
+// A body of JSON lines is read as it arrives:
 //
 //     LineStream lines = client.open(address, request, {2s, Reuse::Allowed}, yield);
-//     while (lines.read(batch, 5s, yield)) { ... whole lines, as many as had arrived ... }
+//     while (lines.read(batch, 5s, yield)) { ... all whole lines that had arrived ... }
 
 #include "fescuesill/units.h"
 
@@ -43,7 +43,8 @@
     std::string target = "/";
     std::string body = {};
     std::vector<HttpHeader> headers = {};
-    // The headers are a caller's own, Host and Content-Type among them: nothing is added but the length of the body.
+    // The request is forwarded: its headers are the original caller's, including Host and Content-Type, and only
+    // Content-Length is added.
     bool isForwarded = false;
 };
 
@@ -52,13 +53,13 @@
     std::vector<HttpHeader> headers;
     std::string body;
 
-    // Empty where there is none; names compare without case.
+    // Returns an empty view if there is no such header. Names are case-insensitive.
     std::string_view header(std::string_view name) const;
 };
 
-// Whether a call may go out on a connection that was used before. The other end may have closed such a connection,
-// which shows only after the send: then nobody can tell whether the request ran. Calls that may not be repeated
-// therefore never reuse one.
+// Whether a call may use a pooled connection. The server may have closed such a connection, which the client detects
+// only after sending the request, when it can't know whether the request ran. Calls that must not be retried therefore
+// use Reuse::Never.
 enum class Reuse {
     Allowed,
     Never,
@@ -66,11 +67,11 @@
 
 class HttpConnection;
 
-// Ends one call from outside its coroutine, on the thread of its io_context.
+// Aborts one call from outside its coroutine. Must be used on the thread of the call's io_context.
 //
 //     CallAbort abort;
-//     client.call(address, request, {20s, Reuse::Allowed, &abort}, yield); // ends with Closed once abort.abort() is
-//                                                                          // called, before or during it
+//     client.call(address, request, {20s, Reuse::Allowed, &abort}, yield); // throws Closed if abort.abort() is
+//                                                                          // called before or during the call
 class CallAbort
 {
 public:
@@ -84,42 +85,42 @@
 private:
     friend class HttpConnection;
 
-    HttpConnection *connection = nullptr; // that the call is using now
+    HttpConnection *connection = nullptr; // that the call currently uses
     bool aborted = false;
 };
 
-// How long the body of a reply may take that grows with the deployment.
+// Time limits on reading a reply body whose size grows with the deployment.
 struct BodyLimits {
-    Duration pause; // without a byte
+    Duration idle; // the longest time without a byte
     Duration total;
 };
 
 struct CallOptions {
-    Duration deadline{2s}; // from the start to the last byte of the reply; of open(): to the end of the reply's header
+    Duration deadline{2s}; // from the start to the last byte of the reply; for open(), to the end of the reply's header
     Reuse reuse = Reuse::Allowed;
-    CallAbort *abort = nullptr; // outlives the call, and the stream that open() returns
-    // Of call(): where set, the deadline ends with the reply's header. A limit on a whole reply of growing size fails
-    // each try alike once the link is too slow for it.
+    CallAbort *abort = nullptr; // must outlive the call and the stream that open() returns
+    // For call(): if set, the deadline covers only the reply's header, and these limits apply to its body. With one
+    // deadline for a whole reply of growing size, every attempt would fail once the link is too slow for it.
     std::optional<BodyLimits> body = std::nullopt;
 };
 
 enum class HttpFault {
     Connect, // no connection
-    Busy, // the bound on connections is reached
-    Timeout, // the deadline or the progress limit passed
-    Closed, // the connection broke
-    TooLarge, // the reply is over its limit
+    Busy, // the maximum number of connections is open
+    Timeout, // the deadline or the limit on progress was exceeded
+    Closed, // the connection was closed or lost
+    TooLarge, // the reply exceeds its size limit
     Malformed, // the reply is not HTTP
 };
 
-// A call that gave no reply.
+// A call that ended without a complete reply.
 class HttpError : public std::runtime_error
 {
 public:
     HttpError(HttpFault fault, bool knownNotSent, const std::string &text);
 
     HttpFault fault() const;
-    // True only where not one byte of the request was handed to the kernel.
+    // True only if no byte of the request was written to the socket.
     bool isKnownNotSent() const;
 
 private:
@@ -129,7 +130,7 @@
 
 class HttpClient;
 
-// The body of one reply, line by line. Destroying it closes the connection unless the body was read to its end.
+// The body of one reply, read line by line or in parts. Destroying the stream closes its connection.
 class LineStream
 {
 public:
@@ -140,17 +141,17 @@
     ~LineStream();
 
     int status() const;
-    // The rest of the body whole, for replies that are not 200.
+    // Returns the rest of the body, for replies whose status is not 200.
     std::string readAll(Duration deadline, const asio::yield_context &yield);
-    // Waits for at least one whole line and gives all that have arrived, each with its line feed. False at the end of
-    // the body; a last line without a line feed is dropped. Throws Timeout when no byte comes within the limit.
+    // Waits for at least one whole line and returns all that have arrived, each with its line feed. Returns false at
+    // the end of the body; a last line without a line feed is dropped. Throws Timeout if no byte arrives within the
+    // limit.
     bool read(std::string &lines, Duration limit, const asio::yield_context &yield);
-    // Waits for at least one byte of the body and appends all that have arrived, lines or not. False at the end of the
-    // body.
+    // Waits for at least one byte of the body and appends all that have arrived. Returns false at the end of the body.
     bool readSome(std::string &out, Duration limit, const asio::yield_context &yield);
-    // Status and headers.
+    // The status and headers of the reply, without its body.
     HttpResponse head() const;
-    // Closes the connection; a read that waits in another coroutine or handler ends with Closed.
+    // Closes the connection. A read that is pending in another coroutine ends with Closed.
     void close();
 
 private:
@@ -164,12 +165,12 @@
 {
 public:
     struct Options {
-        std::size_t connections = 20000; // at once, over all addresses; each is a descriptor and some 2 KB
-        std::size_t idlePerAddress = 64; // kept for reuse; more would only hold descriptors of both ends
-        Duration idleLimit{4s}; // shorter than the keep-alive of common servers, so that reuse seldom meets a close
-        Duration connectLimit{1s}; // links between data centres take milliseconds; a lost SYN is sent again after 1 s
-        Bytes bodyLimit{16 << 20}; // a whole reply; a bigger one is a fault of the endpoint
-        Bytes lineLimit{1 << 20}; // one line of a stream
+        std::size_t connections = 20000; // maximum for all addresses; each takes a descriptor and some 2 KB
+        std::size_t idlePerAddress = 64; // kept for reuse; more would only hold descriptors at both ends
+        Duration idleLimit{4s}; // shorter than the keep-alive of common servers: reuse rarely finds a closed connection
+        Duration connectLimit{1s}; // links between data centres take milliseconds; a lost SYN is resent after 1 s
+        Bytes bodyLimit{16 << 20}; // of a whole reply; a larger one is an endpoint fault
+        Bytes lineLimit{1 << 20}; // of one line of a stream
     };
 
     HttpClient(asio::io_context &io, Options options);
@@ -177,7 +178,7 @@
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    // Throws HttpError. Any status is a reply.
+    // Both throw HttpError if there is no complete reply. A reply with any status is returned.
     HttpResponse call(const std::string &address, const HttpRequest &request, const CallOptions &options,
                       const asio::yield_context &yield);
     LineStream open(const std::string &address, const HttpRequest &request, const CallOptions &options,
--- a/wire/httpconnection.cpp
+++ b/wire/httpconnection.cpp
@@ -1,6 +1,6 @@
-// The body is parsed into a scratch buffer that belongs to the thread: parsing is synchronous, so no other coroutine
-// can come between. Reading through Beast's own composed operation was rejected: it needs a buffer for each stream for
-// as long as it waits, which at 10,000 streams is most of their memory.
+// The body is parsed into a thread-local scratch buffer. This is safe because parsing is synchronous, so no other
+// coroutine of the thread runs in between. Beast's composed read operations are not used for the body: they need a
+// buffer for each stream while it waits, which with 10,000 streams would be most of the memory that streams use.
 
 #include "wire/httpconnection.h"
 
@@ -15,9 +15,9 @@
 namespace
 {
 
-constexpr std::size_t readSize = 4096; // of one read: a burst of some 80 decode lines
+constexpr std::size_t readSize = 4096; // bytes in one read; holds a burst of some 80 decode lines
 constexpr std::size_t scratchSize = 16384;
-constexpr std::uint32_t headerLimit = 16 << 10; // of a reply; ours and common servers' take under 1 KB
+constexpr std::uint32_t headerLimit = 16 << 10; // bytes; headers of this server and common ones take under 1 KB
 
 std::array<char, scratchSize> &scratch()
 {
@@ -72,7 +72,7 @@
 {
     this->parser.emplace();
     this->parser->header_limit(headerLimit);
-    // Not boost::none: Boost 1.74 takes every length for over that limit when the header comes in a packet of its own.
+    // Not boost::none: with it, Boost 1.74 reports any body as over the limit if the header arrives in its own packet.
     this->parser->body_limit(std::numeric_limits<std::uint64_t>::max());
     this->parser->eager(true);
     this->parser->skip(isHead);
@@ -124,7 +124,8 @@
         }
     }
     if (this->atEnd && !this->parser->is_done()) {
-        // The parser takes an end before the first byte of a header for a whole reply, so it is not asked then.
+        // At an end of stream before any header byte, the parser would report a complete reply, so put_eof() is
+        // skipped.
         const bool hasHeader = this->parser->is_header_done();
         if (hasHeader) {
             this->parser->put_eof(error);
@@ -153,7 +154,7 @@
     }
     const std::size_t before = this->buffer.size();
     this->parse(out);
-    // A chunk's header cut in two leaves bytes that parse no further until more come.
+    // A chunk header that was split across reads can't be parsed until more bytes arrive.
     if (before > 0 && this->buffer.size() == before && !this->parser->is_done()) {
         this->fill(deadline, yield);
         this->parse(out);
@@ -171,7 +172,7 @@
     return response;
 }
 
-bool HttpConnection::isQuiet()
+bool HttpConnection::isIdleAndOpen()
 {
     char byte = 0;
     boost::system::error_code error;
--- a/wire/httpconnection.h
+++ b/wire/httpconnection.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One connection to a server and the pool that it belongs to; private to the sources of the client.
+// One connection to a server, and the pool that it belongs to. Internal to HttpClient.
 
 #include "wire/httpclient.h"
 
@@ -22,7 +22,7 @@
 using tcp = asio::ip::tcp;
 using SteadyTime = std::chrono::steady_clock::time_point;
 
-struct Idle {
+struct IdleConnection {
     std::unique_ptr<HttpConnection> connection;
     SteadyTime since;
 };
@@ -35,7 +35,7 @@
     }
 
     std::unique_ptr<HttpConnection> take(const std::string &address);
-    void giveBack(std::unique_ptr<HttpConnection> connection);
+    void release(std::unique_ptr<HttpConnection> connection);
     std::unique_ptr<HttpConnection> connect(const std::string &address, CallAbort *abort, SteadyTime deadline,
                                             const asio::yield_context &yield);
     std::unique_ptr<HttpConnection> exchange(const std::string &address, const std::string &request, bool isHead,
@@ -45,11 +45,11 @@
     asio::io_context &io;
     Options options;
     std::size_t open = 0;
-    // One queue for each endpoint or engine that was ever called; they come from the declaration, so they are few.
-    std::unordered_map<std::string, std::deque<Idle>> idle;
+    // One queue for each address that was ever called. Addresses come from the declaration, so there are few.
+    std::unordered_map<std::string, std::deque<IdleConnection>> idle;
 };
 
-// One connection and the reply being read from it.
+// One connection and the reply that is being read from it.
 class HttpConnection
 {
 public:
@@ -71,25 +71,25 @@
     void connect(const tcp::endpoint &endpoint, SteadyTime deadline, const asio::yield_context &yield);
     void send(const std::string &request, bool isHead, SteadyTime deadline, const asio::yield_context &yield);
     void readHeader(SteadyTime deadline, const asio::yield_context &yield);
-    // Appends what has arrived of the body; false where the body is whole.
+    // Reads more of the body and appends it. Returns false if the body is already complete.
     bool readSome(std::string &out, SteadyTime deadline, const asio::yield_context &yield);
     HttpResponse response() const;
 
-    // Whose abort() closes this connection; null: nobody's.
+    // Sets the handle whose abort() closes this connection; null removes it.
     void setAbort(CallAbort *handle);
 
-    // An idle connection with something to read was closed, or speaks out of turn.
-    bool isQuiet();
-    bool mayBeKept() const
+    // False if an idle connection has become readable: the server closed it or sent data without a request.
+    bool isIdleAndOpen();
+    bool canBeReused() const
     {
         return this->parser->is_done() && this->parser->keep_alive() && this->buffer.size() == 0;
     }
 
     std::shared_ptr<HttpClient::Pool> pool;
     std::string address;
-    std::string partial; // the start of a line whose end has not come yet
+    std::string partial; // body bytes read but not yet returned, such as the start of an incomplete line
     bool reused = false;
-    std::size_t received = 0; // bytes of the reply
+    std::size_t received = 0; // bytes of the current reply
 
     int status() const
     {
--- a/wire/httpserver.cpp
+++ b/wire/httpserver.cpp
@@ -1,5 +1,6 @@
-// Listening, and the writing of answers; what one connection does is in serverconnection.cpp. Answers are formatted by
-// hand: their headers are a handful of fixed lines, and a stream's chunks are two lines around a piece.
+// Accepts connections and writes responses; serverconnection.cpp reads requests. Responses are formatted directly, not
+// through Beast's serializer: they have few, mostly fixed headers, and a chunk of a stream only adds two lines around
+// the data.
 
 #include "wire/httpserver.h"
 
@@ -15,8 +16,8 @@
 namespace
 {
 
-constexpr int listenBacklog = 1024; // connections that arrive in one burst, before the accept loop runs
-constexpr auto acceptPause = std::chrono::milliseconds(50); // after a failed accept: descriptors may be free by then
+constexpr int listenBacklog = 1024; // connections that may arrive in a burst before the accept loop runs
+constexpr auto acceptRetryDelay = std::chrono::milliseconds(50); // gives time for descriptors to be closed
 
 constexpr std::string_view reasonOf(int status)
 {
@@ -104,19 +105,19 @@
     this->startForward(status, all, yield);
 }
 
-void HttpReply::write(std::string_view piece, const asio::yield_context &yield)
+void HttpReply::write(std::string_view data, const asio::yield_context &yield)
 {
-    if (piece.empty()) {
-        return; // a chunk of no length would end the body
+    if (data.empty()) {
+        return; // a chunk of length zero would end the body
     }
     if (!this->connection.isChunked) {
-        this->connection.send(piece, yield);
+        this->connection.send(data, yield);
         return;
     }
     std::string chunk;
-    chunk.reserve(piece.size() + 16);
-    fmt::format_to(std::back_inserter(chunk), "{:x}\r\n", piece.size());
-    chunk += piece;
+    chunk.reserve(data.size() + 16);
+    fmt::format_to(std::back_inserter(chunk), "{:x}\r\n", data.size());
+    chunk += data;
     chunk += "\r\n";
     this->connection.send(chunk, yield);
 }
@@ -165,7 +166,7 @@
 
 void HttpReply::onCallerGone(std::function<void()> callback)
 {
-    this->connection.watch(std::move(callback));
+    this->connection.watchForClose(std::move(callback));
 }
 
 void HttpReply::closeAfterReply()
@@ -186,13 +187,13 @@
                 return;
             }
             if (!error) {
-                self->take(std::move(socket));
+                self->startConnection(std::move(socket));
                 self->accept();
                 return;
             }
-            // Out of descriptors: accepting again at once would spin without an end.
-            self->pause.expires_after(acceptPause);
-            self->pause.async_wait([self](const boost::system::error_code &) {
+            // Usually out of descriptors: retrying without a delay would be a busy loop.
+            self->acceptRetryTimer.expires_after(acceptRetryDelay);
+            self->acceptRetryTimer.async_wait([self](const boost::system::error_code &) {
                 if (self->acceptor.is_open()) {
                     self->accept();
                 }
@@ -200,7 +201,7 @@
         });
 }
 
-void HttpServer::State::take(tcp::socket socket)
+void HttpServer::State::startConnection(tcp::socket socket)
 {
     boost::system::error_code ignored;
     socket.non_blocking(true, ignored);
@@ -288,7 +289,7 @@
 {
     boost::system::error_code ignored;
     this->state->acceptor.close(ignored);
-    this->state->pause.cancel();
+    this->state->acceptRetryTimer.cancel();
     for (ServerConnection *connection : this->state->connections) {
         connection->close();
     }
--- a/wire/httpserver.h
+++ b/wire/httpserver.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// HTTP/1.1 server for the coroutines of one io_context; one coroutine for each connection.
+// HTTP/1.1 server on one io_context, with one coroutine for each connection.
 //
 //     HttpServer::Options options;
 //     options.address = "127.0.0.1:8080";
@@ -9,8 +9,9 @@
 //         reply.send(200, R"({"ok":true})", yield);
 //     });
 //
-// A stream is written piece by piece. There is no buffer behind it: write() waits until the kernel has taken the piece,
-// so a slow reader holds up its own stream and no memory, and one that takes nothing for stallLimit counts as gone.
+// A stream is written in parts. It has no buffer: write() waits until the kernel has accepted the data, so a slow
+// caller delays only its own stream and uses no memory. A caller that accepts no data for stallLimit is treated as
+// disconnected.
 //
 //     reply.onCallerGone([&] { lines.close(); });
 //     reply.startStream(200, yield);
@@ -37,11 +38,11 @@
     std::vector<HttpHeader> headers;
     RequestId id;
 
-    // Empty where there is none; names compare without case.
+    // Returns an empty view if there is no such header. Names are case-insensitive.
     std::string_view header(std::string_view name) const;
 };
 
-// The caller closed its connection, or has read nothing for too long.
+// Thrown when the caller has closed its connection, or has read nothing for stallLimit.
 class CallerGone : public std::runtime_error
 {
 public:
@@ -50,7 +51,7 @@
 
 class ServerConnection;
 
-// The answer to one call. Every write throws CallerGone where the caller has gone.
+// The response to one call. Every write throws CallerGone if the caller has disconnected.
 class HttpReply
 {
 public:
@@ -61,22 +62,23 @@
     void refuse(const Refusal &refusal, const asio::yield_context &yield);
 
     void startStream(int status, const asio::yield_context &yield, const std::vector<HttpHeader> &headers = {});
-    void write(std::string_view piece, const asio::yield_context &yield);
+    void write(std::string_view data, const asio::yield_context &yield);
     void finish(const asio::yield_context &yield);
 
-    // Hands on an answer of another server: its status and these headers, none of ours but for the framing.
+    // Forwards a complete response of another server: its status and these headers. Adds only framing headers.
     void forward(int status, std::string_view body, const std::vector<HttpHeader> &headers,
                  const asio::yield_context &yield);
-    // The same for a body that is still to come; goes on with write() and ends with finish().
+    // Starts forwarding a response whose body follows through write() and ends with finish().
     void startForward(int status, const std::vector<HttpHeader> &headers, const asio::yield_context &yield);
-    // Ends the connection in the middle of an answer, so that what was sent of it does not look whole.
+    // Closes the connection before the end of the response, so that the caller can see that it is incomplete.
     void abort();
 
-    // Called once, from a handler of the same thread, when the caller closes its end; also when it only closes its
-    // sending half, which callers of this protocol do not do. Reset by an empty function.
+    // Sets a callback that is called once, on the same thread, when the caller closes its connection. Closing only the
+    // sending half has the same effect, but callers of this protocol don't do that. An empty function removes the
+    // callback.
     void onCallerGone(std::function<void()> callback);
     bool isStarted() const;
-    // The connection ends with this answer: its caller opens the next one, at a host that is not stopping.
+    // Closes the connection after this response, so that the caller connects next to a host that is not stopping.
     void closeAfterReply();
 
 private:
@@ -90,19 +92,21 @@
 
     struct Options {
         std::string address = {}; // IP:PORT; port 0 lets the kernel choose
-        bool reusePort = false; // several servers of this process listen on the same port (SO_REUSEPORT)
-        // A coroutine takes 9 KB and one memory map; the kernel's limit on maps comes soon after 30,000.
+        bool reusePort = false; // lets several servers of this process listen on the same port (SO_REUSEPORT)
+        // A connection's coroutine takes 9 KB and one memory map; the kernel's limit on maps is reached soon after
+        // 30,000.
         std::size_t connections = 20000;
         Bytes headerLimit{16 << 10}; // tokens and keys take under 1 KB
-        Bytes bodyLimit{4 << 20}; // the longest log that fits a context of engine memory, with escapes
-        Duration headerLimitTime{5s}; // from the first byte; a drip of bytes does not extend it
-        Duration bodyLimitTime{20s}; // 4 MiB at 2 Mbit/s, the slowest workshop line
-        Duration idleLimit{60s}; // between two requests of one connection
-        Duration stallLimit{20s}; // one write; engine memory is not held for a caller that reads nothing
+        Bytes bodyLimit{4 << 20}; // the longest log that fits an engine's context, with JSON escapes
+        Duration headerLimitTime{5s}; // from the first byte; later bytes don't extend it
+        Duration bodyLimitTime{20s}; // 4 MiB at 2 Mbit/s, the slowest workshop link
+        Duration idleLimit{60s}; // between two requests on one connection
+        Duration stallLimit{20s}; // for one write; frees engine memory held for a caller that reads nothing
         std::function<RequestId()> newRequestId = {};
-        // The id that the caller gave; where it is set, newRequestId serves only calls that could not be read.
+        // Determines the id of a call, for example from a header. If set, newRequestId is used only for requests that
+        // could not be read.
         std::function<RequestId(const HttpCall &)> requestIdOf = {};
-        std::function<void(const Refusal &)> onRefused = {}; // every refusal, for the counters
+        std::function<void(const Refusal &)> onRefused = {}; // called for every refusal, to count them
     };
 
     static tl::expected<std::unique_ptr<HttpServer>, WireError> create(asio::io_context &io, Options options,
@@ -113,11 +117,12 @@
 
     std::uint16_t port() const;
     std::size_t openConnections() const;
-    // Closes the connections on which no request has begun; their callers open new ones, at hosts that stay.
+    // Closes the connections that are waiting for a request, so that their callers reconnect to hosts that are not
+    // stopping.
     void closeIdle();
-    // Takes the limits on size and time of these options for what is read from now on.
+    // Applies the header and body limits and the idle limit of these options to everything read from now on.
     void setLimits(const Options &limits);
-    // Stops listening and closes every connection; their coroutines end as the context runs on.
+    // Stops listening and closes every connection. Their coroutines end while the io_context keeps running.
     void close();
 
 private:
--- a/wire/platformclient.cpp
+++ b/wire/platformclient.cpp
@@ -1,8 +1,8 @@
-// One call is one HTTP exchange; nothing is repeated here. Whoever asks knows whether a repeat is harmless, and a
-// commit whose reply was lost must be read back, not sent again.
+// Each call is one HTTP exchange and is not retried here. Only the caller knows whether a retry is safe, and a commit
+// whose reply was lost must be read back rather than sent again.
 //
-// Commits and object writes never go out on a pooled connection: the client repeats a call whose pooled connection
-// turns out to be stale, and a repeated commit could meet the row that its first sending wrote and report a conflict
+// Commits and object writes never use a pooled connection. HttpClient retries a call whose pooled connection turns out
+// to be stale, and a commit that is sent twice could find the row that the first attempt wrote and report a conflict
 // with itself.
 
 #include "wire/platformclient.h"
@@ -38,12 +38,12 @@
         fault);
 }
 
-// Runs a reader of a reply and turns every shape that it does not expect into BadReply.
-template<typename Reader>
-auto readReply(const HttpResponse &response, Reader reader)
+// Parses a reply and turns every JSON error, also a missing field or an unexpected type, into BadReply.
+template<typename Parse>
+auto parseReply(const HttpResponse &response, Parse parse)
 {
     try {
-        return reader(Json::parse(response.body));
+        return parse(Json::parse(response.body));
     } catch (const Json::exception &error) {
         throw PlatformError(BadReply{error.what()});
     }
@@ -174,7 +174,7 @@
     if (response.status == statusNotFound) {
         return std::nullopt;
     }
-    return readReply(response, readRow);
+    return parseReply(response, readRow);
 }
 
 std::vector<RowVersion> PlatformClient::commit(const std::vector<RowWrite> &writes, const asio::yield_context &yield)
@@ -185,15 +185,15 @@
     }
     const HttpResponse response = this->call({"POST", "/table/commit", dump(body)}, yield);
     if (response.status == statusConflict) {
-        throw PlatformError(readReply(response, readConflict));
+        throw PlatformError(parseReply(response, readConflict));
     }
-    return readReply(response, [&writes](const Json &json) {
+    return parseReply(response, [&writes](const Json &json) {
         std::vector<RowVersion> versions;
         for (const Json &version : json.at("versions")) {
             versions.emplace_back(version.get<std::int64_t>());
         }
         if (versions.size() != writes.size()) {
-            throw PlatformError(BadReply{"as many versions as writes were expected"});
+            throw PlatformError(BadReply{"number of versions differs from number of writes"});
         }
         return versions;
     });
@@ -206,7 +206,7 @@
         {"GET",
          fmt::format("/table/rows?prefix={}&after={}&limit={}", percentEncode(prefix), percentEncode(after), limit)},
         yield);
-    return readReply(response, [](const Json &json) {
+    return parseReply(response, [](const Json &json) {
         std::vector<Row> rows;
         for (const Json &row : json.at("rows")) {
             rows.push_back(readRow(row));
@@ -232,13 +232,13 @@
 std::vector<std::string> PlatformClient::listObjects(const std::string &prefix, const asio::yield_context &yield)
 {
     const HttpResponse response = this->call({"GET", "/objects?prefix=" + percentEncode(prefix)}, yield);
-    return readReply(response, [](const Json &json) { return json.at("objects").get<std::vector<std::string>>(); });
+    return parseReply(response, [](const Json &json) { return json.at("objects").get<std::vector<std::string>>(); });
 }
 
 std::vector<PlatformHost> PlatformClient::hosts(const asio::yield_context &yield)
 {
     const HttpResponse response = this->call({"GET", "/hosts"}, yield);
-    return readReply(response, [](const Json &json) {
+    return parseReply(response, [](const Json &json) {
         std::vector<PlatformHost> hosts;
         for (const Json &host : json.at("hosts")) {
             hosts.push_back(readHost(host));
--- a/wire/platformclient.h
+++ b/wire/platformclient.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The platform's table, object store and host list, for the coroutines of one io_context.
+// Client for the platform's table, object store and host list, used from the coroutines of one io_context.
 //
 //     PlatformClient platform(io, PlatformClient::Options{"127.0.0.1:9000"});
 //     try {
@@ -29,7 +29,7 @@
 struct RowWrite {
     std::string key;
     std::string value;
-    std::optional<RowVersion> ifVersion; // none: whatever is there; 0: only where the row is absent
+    std::optional<RowVersion> ifVersion; // none: unconditional; 0: only if the row does not exist
     bool isDelete = false;
 
     static RowWrite put(std::string key, std::string value, std::optional<RowVersion> ifVersion = std::nullopt);
@@ -47,27 +47,27 @@
     std::string entry; // IP:PORT
     std::string scheduler; // IP:PORT
     HostState state = HostState::Live;
-    std::string entryAdmin = {}; // IP:PORT; empty where the platform does not say
+    std::string entryAdmin = {}; // IP:PORT; empty if the platform does not list it
     std::string schedulerAdmin = {};
 };
 
-// It answers that it is down, or nothing could be sent to it. Nothing took effect.
+// The platform reported an error, or the request could not be sent. The call had no effect.
 struct Unavailable {
     std::string text;
 };
-// Over the platform's rate. Nothing took effect.
+// The platform's rate limit was exceeded. The call had no effect.
 struct RateLimited {
 };
-// No reply, or a reply cut short: a write may have taken effect.
+// No reply, or a truncated one. A write may have taken effect.
 struct ReplyLost {
     std::string text;
 };
-// A condition of a commit does not hold; nothing was written.
+// A condition of a commit did not hold. Nothing was written.
 struct Conflict {
-    std::size_t index = 0; // which write
-    Row current; // version 0 where the row is absent
+    std::size_t index = 0; // of the write whose condition failed
+    Row current; // version 0 if the row does not exist
 };
-// The reply does not parse. A write may have taken effect.
+// The reply could not be parsed. A write may have taken effect.
 struct BadReply {
     std::string text;
 };
@@ -80,7 +80,7 @@
     explicit PlatformError(PlatformFault fault);
 
     const PlatformFault &fault() const;
-    // Of a write: it is not known that nothing was written.
+    // For a write: false only if it is certain that nothing was written.
     bool mayHaveTakenEffect() const;
 
 private:
@@ -92,19 +92,21 @@
 public:
     struct Options {
         std::string address = {}; // IP:PORT
-        Duration deadline{2s}; // of one call; a store slower than this counts as down
-        // Where set, the deadline of a read ends with the reply's header: for rows whose size grows with the
-        // deployment.
+        Duration deadline{2s}; // for one call; a slower store is treated as unavailable
+        // If set, the deadline of a read covers only the header of the reply, and these limits apply to its body. For
+        // rows whose size grows with the deployment.
         std::optional<BodyLimits> readBody = std::nullopt;
-        std::size_t connections = 32; // at once; several hundred writes a second at a few ms each need under ten
+        // Maximum number of open connections. Several hundred writes a second of a few ms each need under ten.
+        std::size_t connections = 32;
     };
 
     PlatformClient(asio::io_context &io, const Options &options);
 
-    // All throw PlatformError.
+    // All calls throw PlatformError on failure. get() and getObject() return nothing if there is no such row or object.
     std::optional<Row> get(const std::string &key, const asio::yield_context &yield);
-    // All writes or none; the new versions, in the order of the writes.
+    // Applies all writes atomically or none. Returns the new versions in the order of the writes.
     std::vector<RowVersion> commit(const std::vector<RowWrite> &writes, const asio::yield_context &yield);
+    // Up to `limit` rows whose key has this prefix and sorts after `after`.
     std::vector<Row> rows(const std::string &prefix, const std::string &after, std::size_t limit,
                           const asio::yield_context &yield);
     void putObject(const std::string &name, const std::string &content, const asio::yield_context &yield);
--- a/wire/serverconnection.cpp
+++ b/wire/serverconnection.cpp
@@ -1,13 +1,15 @@
-// One coroutine for each connection: wait for a byte, read a header, read a body, hand the call to the handler, answer,
-// and again. Every wait has an end. The limit on a header or body counts from its first byte and no further byte
-// extends it, so a caller that drips one byte a second is cut off as early as one that sends nothing.
+// One coroutine for each connection repeats these steps: wait for a byte, read a header and a body, and pass the call
+// to the handler, which writes the response. Every wait has a time limit. The limit on a header or body starts with its
+// first byte and later bytes don't extend it, so a caller that sends one byte a second times out as early as one that
+// sends nothing.
 //
-// Answers are written with a plain send() first; the kernel nearly always takes the whole piece at once, and a turn
-// through the reactor for each token would cost more than the token. Only the rest of a piece waits.
+// Responses are first written with a synchronous non-blocking write. The kernel nearly always accepts all of the data,
+// and a pass through the reactor for each token would cost more than the token itself. Only the rest is written
+// asynchronously.
 //
-// A caller that goes is seen by waiting for its socket to become readable while the handler works: a read of
-// nothing is the end. When bytes come instead (the next request, sent early), the wait is given up, and a write will
-// tell.
+// While the handler runs, a wait for the socket to become readable detects a caller that disconnects: a read of zero
+// bytes is the end of the connection. If bytes arrive instead (a pipelined request), the wait is not renewed, and a
+// disconnect is detected only by the next write.
 
 #include "wire/serverconnection.h"
 
@@ -21,14 +23,14 @@
 namespace
 {
 
-constexpr std::size_t firstRead = 2048; // most requests whole
+constexpr std::size_t firstReadSize = 2048; // bytes; holds most requests completely
 
 std::string_view viewOf(beast::string_view text)
 {
     return {text.data(), text.size()};
 }
 
-// What a broken request is told; nothing for a connection that just ended.
+// The refusal of an invalid request. Returns nothing if the connection has merely ended.
 std::optional<Refusal> refusalFor(const beast::error_code &error)
 {
     if (error == http::error::header_limit) {
@@ -50,8 +52,9 @@
     return std::nullopt;
 }
 
-// The parser takes a transfer coding that it does not know for no body, and would read the body as the next request: a
-// request that its caller hid there would run under another caller's connection.
+// Beast's parser treats a request with an unknown transfer coding as one without a body and would parse the body as the
+// next request. This would allow request smuggling: a request hidden in the body would run as if the owner of the
+// connection, such as a proxy with many callers, had sent it.
 bool hasUnknownCoding(const RequestParser &parser)
 {
     const auto &header = parser.get();
@@ -74,18 +77,19 @@
     beast::error_code error;
     this->stream.expires_after(this->server->options.idleLimit);
     this->isIdle = true;
-    const std::size_t count = this->stream.async_read_some(this->buffer.prepare(firstRead), yield[error]);
+    const std::size_t count = this->stream.async_read_some(this->buffer.prepare(firstReadSize), yield[error]);
     this->isIdle = false;
     this->buffer.commit(count);
     return !error;
 }
 
-bool ServerConnection::readParts(RequestParser &parser, beast::error_code &error, const asio::yield_context &yield)
+bool ServerConnection::readHeaderAndBody(RequestParser &parser, beast::error_code &error,
+                                         const asio::yield_context &yield)
 {
     const auto &options = this->server->options;
     parser.header_limit(static_cast<std::uint32_t>(options.headerLimit.value()));
     parser.body_limit(static_cast<std::uint64_t>(options.bodyLimit.value()));
-    this->limitRead(options.headerLimitTime);
+    this->startReadTimer(options.headerLimitTime);
     http::async_read_header(this->stream, this->buffer, parser, yield[error]);
     if (!error && hasUnknownCoding(parser)) {
         error = http::error::bad_transfer_encoding;
@@ -94,27 +98,28 @@
         this->send("HTTP/1.1 100 Continue\r\n\r\n", yield);
     }
     if (!error && !parser.is_done()) {
-        this->limitRead(options.bodyLimitTime);
+        this->startReadTimer(options.bodyLimitTime);
         http::async_read(this->stream, this->buffer, parser, yield[error]);
     }
     this->readTimer.cancel();
-    if (error && this->isLate) {
+    if (error && this->isTimedOut) {
         error = beast::error::timeout;
     }
     return !error;
 }
 
-// tcp_stream's own limit closes the socket, and a caller that is too slow could not be told so.
-void ServerConnection::limitRead(Duration limit)
+// The timeout of tcp_stream closes the socket, so a caller that is too slow could not be sent a refusal. This timer
+// only cancels the read.
+void ServerConnection::startReadTimer(Duration limit)
 {
     this->stream.expires_never();
-    this->isLate = false;
+    this->isTimedOut = false;
     this->readTimer.expires_after(limit);
     this->readTimer.async_wait([self = this->shared_from_this()](const boost::system::error_code &error) {
         if (error || self->readTimer.expiry() > std::chrono::steady_clock::now()) {
             return;
         }
-        self->isLate = true;
+        self->isTimedOut = true;
         boost::system::error_code ignored;
         self->stream.socket().cancel(ignored);
     });
@@ -130,7 +135,7 @@
     this->id = this->newRequestId();
     const auto parser = std::make_unique<RequestParser>();
     beast::error_code error;
-    if (!this->readParts(*parser, error, yield)) {
+    if (!this->readHeaderAndBody(*parser, error, yield)) {
         this->keepAlive = false;
         if (const auto refusal = refusalFor(error)) {
             this->refuse(*refusal, yield);
@@ -167,13 +172,13 @@
     } catch (const CallerGone &) {
         this->keepAlive = false;
     } catch (const std::exception &error) {
-        // Whether the work ran is not known here, so it must not be called not run.
+        // It is unknown here whether the work ran, so the refusal must not state NotRun.
         this->keepAlive = false;
         if (!this->started) {
             this->refuse({RefusalCode::Internal, RunState::MayHaveRun, error.what(), std::nullopt}, yield);
         }
     }
-    this->watch({});
+    this->watchForClose({});
 }
 
 void ServerConnection::serve(const asio::yield_context &yield)
@@ -187,7 +192,7 @@
             this->handle(*call, yield);
         }
     } catch (const CallerGone &) {
-        // It went while it was being refused; nothing is held for it.
+        // The caller disconnected while its request was being refused; nothing is reserved for it.
     }
     boost::system::error_code ignored;
     this->stream.socket().shutdown(tcp::socket::shutdown_both, ignored);
@@ -225,10 +230,10 @@
     HttpReply(*this).send(httpStatus(refusal.code), refusalJson(refusal, this->id), yield, headers);
 }
 
-void ServerConnection::watch(std::function<void()> callback)
+void ServerConnection::watchForClose(std::function<void()> callback)
 {
-    this->gone = std::move(callback);
-    if (!this->gone || this->isWatching) {
+    this->callerGoneCallback = std::move(callback);
+    if (!this->callerGoneCallback || this->isWatching) {
         return;
     }
     this->isWatching = true;
@@ -243,7 +248,7 @@
 
 void ServerConnection::onReadable()
 {
-    if (!this->gone) {
+    if (!this->callerGoneCallback) {
         return;
     }
     char byte = 0;
@@ -252,8 +257,8 @@
     if (error == asio::error::would_block || count > 0) {
         return;
     }
-    const auto callback = std::move(this->gone);
-    this->gone = {};
+    const auto callback = std::move(this->callerGoneCallback);
+    this->callerGoneCallback = {};
     callback();
 }
 
--- a/wire/serverconnection.h
+++ b/wire/serverconnection.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One caller's connection and the server state that it belongs to; private to the sources of the server.
+// One caller's connection, and the state of the server that it belongs to. Internal to HttpServer.
 
 #include "wire/httpserver.h"
 
@@ -27,18 +27,18 @@
         , options(std::move(limits))
         , handler(std::move(serve))
         , acceptor(context)
-        , pause(context)
+        , acceptRetryTimer(context)
     {
     }
 
     void accept();
-    void take(tcp::socket socket);
+    void startConnection(tcp::socket socket);
 
     asio::io_context &io;
     Options options;
     Handler handler;
     tcp::acceptor acceptor;
-    asio::steady_timer pause;
+    asio::steady_timer acceptRetryTimer;
     std::unordered_set<ServerConnection *> connections;
 };
 
@@ -62,7 +62,8 @@
     void serve(const asio::yield_context &yield);
     void refuse(const Refusal &refusal, const asio::yield_context &yield);
     void send(std::string_view data, const asio::yield_context &yield);
-    void watch(std::function<void()> callback);
+    // Sets the callback of HttpReply::onCallerGone().
+    void watchForClose(std::function<void()> callback);
     void close()
     {
         boost::system::error_code ignored;
@@ -74,27 +75,27 @@
     }
 
     RequestId id;
-    bool started = false; // of the current answer
+    bool started = false; // whether the current response has been started
     bool isChunked = true;
     bool keepAlive = true;
-    bool isIdle = false; // between two requests
+    bool isIdle = false; // waiting for the first byte of a request
 
 private:
-    // Empty where the connection has ended or was refused.
+    // Returns nothing if the connection has ended or the request was refused.
     std::optional<HttpCall> read(const asio::yield_context &yield);
     void handle(HttpCall &call, const asio::yield_context &yield);
     bool awaitByte(const asio::yield_context &yield);
-    bool readParts(RequestParser &parser, beast::error_code &error, const asio::yield_context &yield);
+    bool readHeaderAndBody(RequestParser &parser, beast::error_code &error, const asio::yield_context &yield);
     void onReadable();
-    void limitRead(Duration limit);
+    void startReadTimer(Duration limit);
 
     std::shared_ptr<HttpServer::State> server;
     beast::tcp_stream stream;
     asio::steady_timer readTimer;
     beast::flat_buffer buffer;
-    std::function<void()> gone;
+    std::function<void()> callerGoneCallback;
     bool isWatching = false;
-    bool isLate = false; // the limit on a header or body passed
+    bool isTimedOut = false; // the time limit on a header or body was exceeded
 };
 
 } // namespace fescuesill
--- a/wire/testing/engineclient_test.cpp
+++ b/wire/testing/engineclient_test.cpp
@@ -11,11 +11,11 @@
 
 struct LineCase {
     const char *line;
-    const char *json; // null: the line is refused
+    const char *json; // null: the line is invalid
     const char *text;
 };
 
-TEST(DecodeLine, ReadsFragmentsInEveryForm)
+TEST(DecodeLine, ParsesFragmentsInEveryForm)
 {
     const std::vector<LineCase> cases = {
         {R"({"offset":3,"text":" a1b2"})", R"(" a1b2")", " a1b2"},
@@ -42,7 +42,7 @@
     }
 }
 
-TEST(DecodeLine, ReadsTheEnd)
+TEST(DecodeLine, ParsesTheEnd)
 {
     const auto line = parseDecodeLine(R"({"end":true,"length":2,"digest":"00ff","prompt_tokens":9,"output_tokens":2})");
     ASSERT_TRUE(line);
@@ -56,7 +56,7 @@
     std::size_t fault; // index in EngineFault
 };
 
-TEST(EngineClient, TellsRefusalsApart)
+TEST(EngineClient, MapsErrorResponsesToFaults)
 {
     const std::vector<FaultCase> cases = {
         {503, R"({"error":"queue_full"})", 0},
@@ -82,9 +82,9 @@
     }
 }
 
-// A caller has resumed its stream through another entry, and the first one cancels late. The engine refuses; the first
-// entry must take that for the end of its duty and not ask again until it gives up.
-TEST(EngineClient, TakesAStreamOfAnotherReaderAsSettled)
+// A caller has resumed its stream through another entry before the first entry cancels it. The engine refuses the
+// cancellation with 409. The first entry must treat that as success and not retry until it gives up.
+TEST(EngineClient, TreatsAStreamOfAnotherReaderAsCancelled)
 {
     const ServedThread served({}, [](HttpCall &, HttpReply &reply, const asio::yield_context &yield) {
         reply.send(409, R"({"error":"other_reader"})", yield);
@@ -95,7 +95,7 @@
     });
 }
 
-TEST(EngineClient, TakesAnUnknownStreamAsCancelled)
+TEST(EngineClient, TreatsAnUnknownStreamAsCancelled)
 {
     const ServedThread served({}, [](HttpCall &call, HttpReply &reply, const asio::yield_context &yield) {
         EXPECT_EQ(call.target, "/v1/streams/s%2F1?entry=athens-a");
--- a/wire/testing/httpclient_test.cpp
+++ b/wire/testing/httpclient_test.cpp
@@ -41,7 +41,7 @@
     EXPECT_FALSE(target.query("bad"));
 }
 
-TEST(HttpClient, ReusesAConnectionOnlyWhereItMay)
+TEST(HttpClient, ReusesAConnectionOnlyIfAllowed)
 {
     const ServedThread served(
         {}, [](HttpCall &, HttpReply &reply, const asio::yield_context &yield) { reply.send(200, "ok", yield); });
@@ -56,13 +56,13 @@
     });
 }
 
-// Whether a booking may be tried elsewhere hangs on one question: did any of it leave this process?
+// A booking may be retried at another endpoint only if no byte of it was sent.
 TEST(HttpClient, KnowsWhatWasNotSent)
 {
     std::uint16_t closedPort = 0;
     {
-        const ServedThread gone({}, [](HttpCall &, HttpReply &, const asio::yield_context &) {});
-        closedPort = gone.port();
+        const ServedThread stopped({}, [](HttpCall &, HttpReply &, const asio::yield_context &) {});
+        closedPort = stopped.port();
     }
     const auto refused = faultOf("127.0.0.1:" + std::to_string(closedPort), {"POST", "/", "x"}, {});
     ASSERT_TRUE(refused);
@@ -74,8 +74,8 @@
     EXPECT_TRUE(split->isKnownNotSent());
 }
 
-// The endpoint takes the call and says nothing, or hangs up: the call may have run.
-TEST(HttpClient, NeverCallsASentRequestNotSent)
+// The endpoint receives the call and doesn't reply in time, or closes the connection. The call may have run.
+TEST(HttpClient, NeverReportsASentRequestAsNotSent)
 {
     const ServedThread silent({}, [](HttpCall &call, HttpReply &reply, const asio::yield_context &yield) {
         if (call.target == "/hang-up") {
@@ -95,8 +95,8 @@
     EXPECT_FALSE(closed->isKnownNotSent());
 }
 
-// An engine stalls in a long call whose result is wanted no more. The call ends when it is aborted, on a connection of
-// the pool as well, is not sent once more on a new one, and one aborted beforehand is never sent.
+// An engine stalls in a long call whose result is no longer needed. Aborting must end the call at once, also on a
+// pooled connection, without a retry on a new one. A call that was aborted beforehand must never be sent.
 TEST(HttpClient, EndsAnAbortedCallAtOnce)
 {
     std::atomic<int> stalled{0};
@@ -128,9 +128,9 @@
     EXPECT_EQ(stalled, 1);
 }
 
-// An endpoint writes the header and the body of its answer in two packets. The client reads the header alone, calls it
-// over a limit that it has not got, and a booking that was made is told to its caller as in doubt.
-TEST(HttpClient, ReadsABodyThatComesAfterItsHeader)
+// An endpoint writes the header and the body of its response in two packets. A client that rejects the header on its
+// own as over the body limit would report a booking that was made as having an unknown outcome.
+TEST(HttpClient, ReadsABodyThatArrivesAfterItsHeader)
 {
     runCoroutine([&](asio::io_context &io, const asio::yield_context &yield) {
         asio::ip::tcp::acceptor acceptor(io, {asio::ip::make_address("127.0.0.1"), 0});
@@ -149,7 +149,7 @@
     });
 }
 
-TEST(HttpClient, ReadsLinesHoweverTheyAreCut)
+TEST(HttpClient, ReadsLinesHoweverTheyAreSplit)
 {
     const ServedThread served({}, [](HttpCall &, HttpReply &reply, const asio::yield_context &yield) {
         reply.startStream(200, yield);
@@ -180,9 +180,9 @@
     bool mayHaveTakenEffect;
 };
 
-// The platform answers a commit with something else than its contract. Each answer is told apart, since what the
-// ledger may say afterwards depends on whether the write can have taken effect.
-TEST(PlatformClient, TellsFaultsOfACommitApart)
+// The platform refuses a commit or responds outside its contract. The faults must be distinguished, because the state
+// that the ledger may report depends on whether the write can have taken effect.
+TEST(PlatformClient, DistinguishesFaultsOfACommit)
 {
     const std::vector<PlatformCase> cases = {
         {"outage", 503, "{}", 0, false},
@@ -210,9 +210,8 @@
     }
 }
 
-// Guards against a configuration that no host behind a slow link ever reads, since its whole row must come within the
-// deadline.
-TEST(PlatformClient, ReadsALargeRowForAsLongAsItArrives)
+// If the whole row had to arrive within one deadline, hosts behind a slow link could never read a large configuration.
+TEST(PlatformClient, ReadsALargeRowWhileItKeepsArriving)
 {
     const std::string reply = R"({"key":"config/current","value":"text","version":7})";
     const ServedThread slow({}, [&](HttpCall &, HttpReply &answer, const asio::yield_context &yield) {
@@ -229,8 +228,8 @@
         PlatformClient::Options options;
         options.address = slow.address();
         options.deadline = 500ms;
-        PlatformClient wholeInTime(io, options);
-        EXPECT_THROW(wholeInTime.get("config/current", yield), PlatformError);
+        PlatformClient oneDeadline(io, options);
+        EXPECT_THROW(oneDeadline.get("config/current", yield), PlatformError);
         options.readBody = BodyLimits{5s, 15s};
         PlatformClient platform(io, options);
         const auto row = platform.get("config/current", yield);
@@ -239,9 +238,9 @@
     });
 }
 
-// The store carries the write out and its reply is lost on the way. One commit must reach it: a second could report a
-// conflict with the first.
-TEST(PlatformClient, CallsALostReplyLost)
+// The store executes a write and its reply is lost. The commit must be sent only once, because a second one could
+// report a conflict with the first.
+TEST(PlatformClient, ReportsALostReply)
 {
     std::atomic<int> commits{0};
     const ServedThread served({}, [&](HttpCall &, HttpReply &, const asio::yield_context &) {
--- a/wire/testing/httpserver_test.cpp
+++ b/wire/testing/httpserver_test.cpp
@@ -32,14 +32,14 @@
 struct BadInputCase {
     const char *name;
     std::string sent;
-    bool finishes; // the caller closes its sending half
+    bool closesSendingHalf; // the caller does so after sending
     std::string status;
     std::string code;
 };
 
-// A caller sends something that is not a request. It is told what is wrong at once, its connection is closed, nothing
-// is left behind, and the next caller is served.
-TEST(HttpServer, RefusesBadInputAndLivesOn)
+// A caller sends an invalid or incomplete request. The server must respond with the matching error, close the
+// connection and serve the next caller.
+TEST(HttpServer, RefusesBadInputAndKeepsServing)
 {
     const std::vector<BadInputCase> cases = {
         {"oversized header", "GET / HTTP/1.1\r\nX: " + std::string(600, 'x') + "\r\n\r\n", false, "413", "too_large"},
@@ -68,7 +68,7 @@
         SCOPED_TRACE(badInput.name);
         RawConnection raw(served.port());
         raw.send(badInput.sent);
-        if (badInput.finishes) {
+        if (badInput.closesSendingHalf) {
             raw.finishSending();
         }
         const std::string answer = raw.readToEnd();
@@ -106,30 +106,30 @@
     EXPECT_NE(answer.find("9\r\ndata: a\n\n\r\n9\r\ndata: b\n\n\r\n0\r\n\r\n"), std::string::npos) << answer;
 }
 
-// A caller hangs up while the engine is silent. The handler must hear of it then, not at the next write, or the
-// engine's memory stays held for a caller that has gone.
-TEST(HttpServer, TellsTheHandlerThatTheCallerHasGone)
+// A caller disconnects while the engine sends nothing. The handler must be notified at once and not at its next write;
+// otherwise engine memory stays reserved for a caller that is gone.
+TEST(HttpServer, NotifiesTheHandlerWhenTheCallerDisconnects)
 {
-    std::promise<void> gone;
+    std::promise<void> notified;
     const ServedThread served(smallLimits(), [&](HttpCall &, HttpReply &reply, const asio::yield_context &yield) {
         asio::steady_timer silentEngine(asio::get_associated_executor(yield.handler_), std::chrono::hours(1));
         reply.onCallerGone([&] { silentEngine.cancel(); });
         reply.startStream(200, yield);
         boost::system::error_code cancelled;
         silentEngine.async_wait(yield[cancelled]);
-        gone.set_value();
+        notified.set_value();
     });
     {
         RawConnection raw(served.port());
         raw.send("GET / HTTP/1.1\r\n\r\n");
         raw.readUntil("\r\n\r\n");
     }
-    gone.get_future().get();
+    notified.get_future().get();
 }
 
-// A slow reader takes nothing while the stream goes on. The writer waits instead of buffering, and gives the caller up
-// after the stall limit.
-TEST(HttpServer, GivesUpACallerThatReadsNothing)
+// A caller reads nothing while the stream continues. The writer must wait instead of buffering, and treat the caller as
+// disconnected after the stall limit.
+TEST(HttpServer, DisconnectsACallerThatReadsNothing)
 {
     std::promise<std::size_t> written;
     HttpServer::Options options = smallLimits();
@@ -150,11 +150,11 @@
     });
     const RawConnection raw(served.port());
     raw.send("GET / HTTP/1.1\r\n\r\n");
-    constexpr std::size_t kernelBuffersAtMost = 256; // 16 MiB
-    EXPECT_LT(written.get_future().get(), kernelBuffersAtMost);
+    constexpr std::size_t maxPiecesInKernelBuffers = 256; // 16 MiB
+    EXPECT_LT(written.get_future().get(), maxPiecesInKernelBuffers);
 }
 
-TEST(HttpServer, RefusesConnectionsOverItsBound)
+TEST(HttpServer, RefusesConnectionsOverItsLimit)
 {
     HttpServer::Options options = smallLimits();
     options.connections = 1;
--- a/wire/testing/requestfuzz_test.cpp
+++ b/wire/testing/requestfuzz_test.cpp
@@ -1,5 +1,5 @@
-// Requests of any make and framing, whole, torn and mutated, against the server that callers reach. The generator knows
-// what it built, so it is the oracle: it says which calls may be handled and which bytes were a body.
+// Sends generated requests with valid and invalid framing, complete, truncated and mutated, to the server that callers
+// reach. The generator is the oracle: it knows which calls may be handled and which bytes are their bodies.
 
 #include "wire/httpserver.h"
 #include "wire/testing/servedthread.h"
@@ -13,15 +13,15 @@
 namespace
 {
 
-constexpr int mostRequests = 3; // on one connection
+constexpr int maxRequests = 3; // on one connection
 constexpr const char *smuggled = "GET /smuggled HTTP/1.1\r\nHost: a\r\n\r\n";
 
-struct Handled {
+struct HandledCall {
     std::string target;
     std::string body;
 };
 
-// What the handler was given, from the server's thread.
+// Records the calls that the handler receives on the server's thread.
 class HandledCalls
 {
 public:
@@ -30,7 +30,7 @@
         const std::lock_guard lock(this->mutex);
         this->calls.push_back({call.target, call.body});
     }
-    std::vector<Handled> take()
+    std::vector<HandledCall> take()
     {
         const std::lock_guard lock(this->mutex);
         return std::move(this->calls);
@@ -38,28 +38,28 @@
 
 private:
     std::mutex mutex;
-    std::vector<Handled> calls;
+    std::vector<HandledCall> calls;
 };
 
 struct Framing {
     std::string headers;
-    std::string sent; // what stands after the header
-    std::string body; // that the handler must get
-    bool isClear = true;
+    std::string sent; // the bytes after the header
+    std::string body; // the body that the handler must receive
+    bool isUnambiguous = true;
 };
 
 std::string chunked(const std::string &body)
 {
     std::string sent;
-    for (std::size_t at = 0; at < body.size(); at += 7) {
-        const std::string piece = body.substr(at, 7);
+    for (std::size_t position = 0; position < body.size(); position += 7) {
+        const std::string piece = body.substr(position, 7);
         sent += std::string(1, static_cast<char>('0' + piece.size())) + "\r\n" + piece + "\r\n";
     }
     return sent + "0\r\n\r\n";
 }
 
-// Each of these two servers in a row could read differently, or is no framing at all.
-const std::vector<std::string> &unclearHeaders()
+// Headers that a proxy and the server behind it could interpret differently, or that are invalid.
+const std::vector<std::string> &ambiguousHeaders()
 {
     static const std::vector<std::string> headers = {
         "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
@@ -89,7 +89,7 @@
     case 2:
         return {"Transfer-Encoding: chunked\r\n", chunked(body), body, true};
     default:
-        return {unclearHeaders()[static_cast<std::size_t>(kind - 3)], body, "", false};
+        return {ambiguousHeaders()[static_cast<std::size_t>(kind - 3)], body, "", false};
     }
 }
 
@@ -109,29 +109,29 @@
     };
 }
 
-// A caller hides a second request in the body of the first, and writes the length so that one server takes it for a
-// body and another for a request. The hidden one must never be handled: it would be run in the name of the next caller
-// on that connection. Those with a clear framing are handled as they were sent.
+// Request smuggling: a caller hides a second request in the body of the first and gives the length in a way that one
+// server reads it as a body and another as a request. The hidden request must never be handled, because it would run on
+// behalf of the next caller on that connection. Requests with unambiguous framing must be handled as sent.
 RC_GTEST_PROP(RequestFuzz, HandlesWhatWasSentAndNothingHidden, ())
 {
     static HandledCalls handled;
     static const ServedThread served(fuzzLimits(), recordInto(handled));
     handled.take();
     std::string bytes;
-    std::vector<Handled> expected;
-    bool isClear = true;
-    const int count = *rc::gen::inRange(1, mostRequests + 1);
+    std::vector<HandledCall> expected;
+    bool isUnambiguous = true;
+    const int count = *rc::gen::inRange(1, maxRequests + 1);
     for (int number = 0; number < count; ++number) {
-        const bool hides = *rc::gen::arbitrary<bool>();
+        const bool hidesRequest = *rc::gen::arbitrary<bool>();
         const auto noise = *rc::gen::container<std::string>(rc::gen::inRange('a', 'z'));
-        const int lastKind = 3 + static_cast<int>(unclearHeaders().size());
+        const int lastKind = 3 + static_cast<int>(ambiguousHeaders().size());
         const int kind =
             *rc::gen::weightedOneOf<int>({{3, rc::gen::inRange(0, 3)}, {1, rc::gen::inRange(3, lastKind)}});
-        const Framing framing = framingOf(kind, hides ? smuggled + noise : noise);
+        const Framing framing = framingOf(kind, hidesRequest ? smuggled + noise : noise);
         const std::string target = "/call" + std::to_string(number);
         bytes += "POST " + target + " HTTP/1.1\r\nHost: a\r\n" + framing.headers + "\r\n" + framing.sent;
-        isClear = isClear && framing.isClear;
-        if (isClear) {
+        isUnambiguous = isUnambiguous && framing.isUnambiguous;
+        if (isUnambiguous) {
             expected.push_back({target, framing.body});
         }
     }
@@ -147,9 +147,9 @@
     }
 }
 
-// Bytes that are nearly a request: some of them are changed, and the end is torn off. Whatever the server makes of it,
-// the caller hears an end and the next one is served.
-RC_GTEST_PROP(RequestFuzz, LivesOnAfterAnyBytes, ())
+// Sends a request with some bytes changed and its end cut off. However the server interprets it, it must close the
+// connection and serve the next caller.
+RC_GTEST_PROP(RequestFuzz, KeepsServingAfterAnyBytes, ())
 {
     static HandledCalls handled;
     static const ServedThread served(fuzzLimits(), recordInto(handled));
@@ -157,8 +157,8 @@
         + chunked("some body of the call");
     const int changes = *rc::gen::inRange(0, 6);
     for (int change = 0; change < changes; ++change) {
-        const auto at = static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(bytes.size())));
-        bytes[at] = static_cast<char>(*rc::gen::inRange(0, 256));
+        const auto position = static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(bytes.size())));
+        bytes[position] = static_cast<char>(*rc::gen::inRange(0, 256));
     }
     bytes.resize(static_cast<std::size_t>(*rc::gen::inRange(1, static_cast<int>(bytes.size()) + 1)));
     RawConnection raw(served.port());
--- a/wire/testing/servedthread.cpp
+++ b/wire/testing/servedthread.cpp
@@ -45,7 +45,7 @@
     address.sin_port = htons(port);
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     if (::connect(this->descriptor, reinterpret_cast<const sockaddr *>(&address), sizeof(address)) != 0) {
-        throw std::runtime_error("connect");
+        throw std::runtime_error("cannot connect to the test server");
     }
 }
 
@@ -56,7 +56,7 @@
 
 void RawConnection::send(const std::string &text) const
 {
-    // The other end may already have refused and closed.
+    // Ignored, because the server may already have refused the request and closed the connection.
     [[maybe_unused]] const ssize_t ignored = ::send(this->descriptor, text.data(), text.size(), MSG_NOSIGNAL);
 }
 
--- a/wire/testing/servedthread.h
+++ b/wire/testing/servedthread.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// A server on a thread of its own and a raw connection to it, for tests.
+// For tests: an HttpServer that runs on its own thread, and a raw TCP connection to it.
 //
 //     ServedThread served(options, handler);
 //     RawConnection raw(served.port());
@@ -42,8 +42,9 @@
     RawConnection &operator=(const RawConnection &) = delete;
 
     void send(const std::string &text) const;
+    // Closes the sending half of the connection.
     void finishSending() const;
-    // Until this text has come, or the end.
+    // Reads until the received bytes contain this text, or to the end of the connection.
     std::string readUntil(const std::string &text);
     std::string readToEnd();
 
@@ -52,7 +53,7 @@
     std::string received;
 };
 
-// Runs one coroutine to its end on a context of its own.
+// Runs one coroutine to its end on its own io_context.
 void runCoroutine(const std::function<void(asio::io_context &, const asio::yield_context &)> &body);
 
 } // namespace fescuesill
--- a/wire/url.h
+++ b/wire/url.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Percent encoding and the parts of a request target.
+// Percent-encoding, and parsing of a request target into its path and query.
 //
 //     percentEncode("call/bookings/a b");              // "call%2Fbookings%2Fa%20b"
 //     const Target target = parseTarget("/v1/streams/s1?from=7&entry=athens-a");
@@ -16,7 +16,7 @@
 {
 
 std::string percentEncode(std::string_view text);
-// Empty where a percent sign is not followed by two hexadecimal digits.
+// Returns nothing if a percent sign is not followed by two hexadecimal digits.
 std::optional<std::string> percentDecode(std::string_view text);
 
 struct QueryItem {
@@ -28,10 +28,11 @@
     std::string path;
     std::vector<QueryItem> items;
 
+    // The value of the first query item with this name.
     std::optional<std::string> query(std::string_view name) const;
 };
 
-// Items whose encoding is broken are left out.
+// Query items without '=' or with invalid percent-encoding are skipped.
 Target parseTarget(std::string_view target);
 
 } // namespace fescuesill
