--- a/programs/gateway/gatewayprogram.cpp
+++ b/programs/gateway/gatewayprogram.cpp
@@ -163,7 +163,7 @@
 void Gateway::serve(HttpCall &call, HttpReply &reply, const asio::yield_context &yield)
 {
     if (!this->draining.isReady()) {
-        reply.closeAfter(); // the caller's next connection goes to a host that keeps running
+        reply.closeAfterReply(); // the caller's next connection goes to a host that keeps running
     }
     // A generation takes seconds. One admitted late in the grace period would be cut off when the period ends.
     if (!this->draining.admits(steadyNow())) {
--- a/programs/gateway/generationforward.cpp
+++ b/programs/gateway/generationforward.cpp
@@ -202,7 +202,7 @@
     if (this->isStarted) {
         return Outcome::Broken;
     }
-    this->call.reply.onGone({});
+    this->call.reply.onCallerGone({});
     this->call.reply.forward(head.status, body, head.headers, yield);
     return Outcome::Whole;
 }
@@ -396,14 +396,14 @@
 
 void GenerationForward::finish(Outcome ended, const asio::yield_context &yield)
 {
-    this->call.reply.onGone({});
+    this->call.reply.onCallerGone({});
     if (ended == Outcome::Whole) {
         this->logEnd("whole");
         return;
     }
     if (this->isStarted) {
         this->logEnd("broken_off");
-        this->call.reply.cut();
+        this->call.reply.abort();
         return;
     }
     this->logEnd(ended == Outcome::Broken ? "failed" : "refused");
@@ -424,7 +424,7 @@
 {
     const auto &services = this->call.services;
     const RequestId &id = this->call.head.id;
-    this->call.reply.onGone([this, &services, &id] {
+    this->call.reply.onCallerGone([this, &services, &id] {
         this->abort.abort();
         services.gates.cancelWait(id);
     });
@@ -441,7 +441,7 @@
         this->report(peer::PlacementEvent::Ended);
         this->finish(ended, yield);
     } catch (const CallerGone &) {
-        this->call.reply.onGone({});
+        this->call.reply.onCallerGone({});
         this->report(peer::PlacementEvent::Ended);
         this->logEnd("caller_gone");
         throw;
