--- a/promise/attempt.cpp
+++ b/promise/attempt.cpp
@@ -231,8 +231,7 @@
                                    std::min(settledBy - now, maxRetryAfter)});
     }
     if (!this->call.resultQuery) {
-        return this->reply(
-            unknownOutcome("an earlier attempt may have run the call; its answer is not known", std::nullopt));
+        return this->reply(unknownOutcome("an earlier try may have run the call and left no answer", std::nullopt));
     }
     this->other = found;
     this->rowVersion = version;
@@ -267,7 +266,7 @@
         throwUnexpectedEvent();
     }
     if (!this->call.resultQuery) {
-        return this->reply(unknownOutcome("the call was sent but no complete answer was received", std::nullopt));
+        return this->reply(unknownOutcome("the endpoint took the call and gave no answer", std::nullopt));
     }
     this->state = State::QueryingOwnResult;
     return attempt_action::QueryResult{};
@@ -278,8 +277,7 @@
     if (const auto *found = get<attempt_event::ResultFound>(event)) {
         return this->answered(found->answer, this->record, now);
     }
-    return this->reply(
-        unknownOutcome("the call was sent but no complete answer was received", this->options.storeRetryAfter));
+    return this->reply(unknownOutcome("the endpoint took the call and gave no answer", this->options.storeRetryAfter));
 }
 
 AttemptAction Attempt::onOtherResult(const AttemptEvent &event, Instant now)
@@ -317,10 +315,10 @@
         this->settlement->expiry = now + this->options.retention;
     }
     if (this->call.repeat) {
-        return this->reply(unknownOutcome("the ledger is unavailable, and an earlier attempt may have run the call",
+        return this->reply(unknownOutcome("the ledger cannot be read, and an earlier try may have run the call",
                                           this->options.storeRetryAfter));
     }
-    return this->reply(Refusal{RefusalCode::StoreUnavailable, RunState::NotRun, "the ledger is unavailable",
+    return this->reply(Refusal{RefusalCode::StoreUnavailable, RunState::NotRun, "the ledger cannot take the call",
                                this->options.storeRetryAfter});
 }
 
@@ -348,7 +346,7 @@
         return this->reply(*done.answer);
     }
     const char *const text =
-        done.stated ? "the call ran; its answer is not known" : "the call ran; its answer was too large to be stored";
+        done.stated ? "the call ran; its answer is not known" : "the call ran; its answer was too large to be kept";
     return this->reply(Refusal{RefusalCode::OutcomeUnknown, RunState::Ran, text, std::nullopt});
 }
 
--- a/promise/attemptsettling.cpp
+++ b/promise/attemptsettling.cpp
@@ -46,7 +46,7 @@
         // An open row is overwritten only by its own attempt, by one that got a result from the endpoint, or by an
         // operator.
         const auto found = conflict->row ? decodeLedgerRecord(conflict->row->value)
-                                         : tl::unexpected(LedgerRecordError{"the row no longer exists"});
+                                         : tl::unexpected(LedgerRecordError{"the row is gone"});
         if (found && found->state == LedgerState::Done) {
             return this->replyDone(*found);
         }
@@ -54,7 +54,7 @@
             return this->replyClosed(*found);
         }
         return this->reply(Refusal{RefusalCode::OutcomeUnknown, RunState::MayHaveRun,
-                                   "the ledger row was changed by another writer", std::nullopt});
+                                   "the ledger row was changed by another", std::nullopt});
     }
     if (!std::holds_alternative<table::Refused>(event) && !std::holds_alternative<table::NoReply>(event)) {
         throwUnexpectedEvent();
@@ -115,7 +115,7 @@
         return this->replyClosed(this->other);
     }
     return this->reply(Refusal{RefusalCode::OutcomeUnknown, RunState::MayHaveRun,
-                               "an earlier attempt may have run the call; its answer is not known",
+                               "an earlier try may have run the call and left no answer",
                                this->options.storeRetryAfter});
 }
 
--- a/wire/adminserver.cpp
+++ b/wire/adminserver.cpp
@@ -205,7 +205,7 @@
         const bool matchesTarget = configPushTarget(request.body()) == request.target();
         const bool isAccepted = matchesTarget && this->options.config && this->options.config(request.body());
         response.result(isAccepted ? http::status::ok : http::status::bad_request);
-        response.body() = isAccepted ? "taken\n" : "configuration record not accepted\n";
+        response.body() = isAccepted ? "taken\n" : "not a record that this process takes\n";
     }
 
     std::string metrics() const
--- a/wire/engineclient.cpp
+++ b/wire/engineclient.cpp
@@ -30,7 +30,7 @@
         return "engine unreachable: " + unreachable->text;
     }
     if (const auto *bad = std::get_if<BadEngineReply>(&fault)) {
-        return "unexpected engine reply: " + bad->text;
+        return "engine reply: " + bad->text;
     }
     constexpr const char *names[] = {"queue full", "no memory", "KV gone", "no stream", "stale fencing number"};
     return names[fault.index()];
--- a/wire/httpclient.cpp
+++ b/wire/httpclient.cpp
@@ -32,7 +32,7 @@
         isInvalid = isInvalid || hasControlCharacter(header.name) || hasControlCharacter(header.value);
     }
     if (isInvalid) {
-        throw HttpError(HttpFault::Malformed, true, "invalid character in a request");
+        throw HttpError(HttpFault::Malformed, true, "control character in a request");
     }
 }
 
@@ -132,11 +132,11 @@
         this->idle.clear();
     }
     if (this->open >= this->options.connections) {
-        throw HttpError(HttpFault::Busy, true, "maximum number of connections reached");
+        throw HttpError(HttpFault::Busy, true, "bound on connections reached");
     }
     const auto parsed = Address::parse(address);
     if (!parsed) {
-        throw HttpError(HttpFault::Connect, true, fmt::format("invalid address: {}", address));
+        throw HttpError(HttpFault::Connect, true, fmt::format("not an address: {}", address));
     }
     const tcp::endpoint endpoint(asio::ip::make_address(parsed->ip), parsed->port);
     auto connection = std::make_unique<HttpConnection>(this->shared_from_this(), address);
